--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -88,14 +88,14 @@
       place::MachineRecord m;
       m.id = name(i), m.address = "10.0.0.1:9", m.type = "plain-16", m.zone = i % 2 ? "east" : "south";
       m.spot = i % 3 == 0, m.share = 0, m.epoch = 1, m.version = 1;
-      holder->machine_known(m, true, now);
+      holder->on_machine_record(m, true, now);
       wire::WorkerReport r;
       r.machine = m.id, r.address = m.address, r.type = m.type, r.zone = m.zone, r.spot = m.spot;
       r.session = 1;
       reports.push_back(std::move(r));
     }
     spdlog::set_level(spdlog::level::warn);
-    holder->loaded(now);
+    holder->finish_loading(now);
     for (int twice = 0; twice < 2; ++twice)  // the second under our token
       for (auto& r : reports) report(r);
     if (empty) return;
@@ -116,7 +116,7 @@
     for (std::uint32_t sum = 0; sum < tasks; sum += each) {
       const auto r = job_of(static_cast<int>(jobs.size()), each, wire::Rank::low);
       jobs[r.spec->id] = r;
-      holder->job_known(r.spec->id, r, false, now, 0);
+      holder->on_job_record(r.spec->id, r, false, now, 0);
     }
   }
 
@@ -213,7 +213,7 @@
   for (auto _ : state) {
     w.now += 15 * kMillisecond;
     w.holder->tick(w.now, place::StartRefusal::none);
-    benchmark::DoNotOptimize(w.holder->pushes(w.now, 1000, place::StartRefusal::none));
+    benchmark::DoNotOptimize(w.holder->take_pushes(w.now, 1000, place::StartRefusal::none));
   }
 }
 
@@ -238,13 +238,13 @@
         before.settings, before.machine_types, share::ShareControllerSettings{},
         [&](const std::string& id) -> const job::JobRecord* { return &before.jobs.at(id); }, 2, before.now,
         before.now);
-    for (const auto& [id, r] : before.jobs) h.job_known(id, r, false, before.now, 0);
+    for (const auto& [id, r] : before.jobs) h.on_job_record(id, r, false, before.now, 0);
     for (const auto& r : before.reports) {
       place::MachineRecord m;
       m.id = r.machine, m.address = r.address, m.type = r.type, m.zone = r.zone, m.share = 0, m.epoch = 1;
-      h.machine_known(m, false, before.now);
+      h.on_machine_record(m, false, before.now);
     }
-    h.loaded(before.now);
+    h.finish_loading(before.now);
     for (auto r : before.reports) {
       r.seq += 1000;
       h.on_report(r, before.now, place::StartRefusal::none);
@@ -300,9 +300,9 @@
     for (const auto& [id, value] : rows) {
       auto& kept = jobs[id] = job::record_from_json(value, 1);
       graph.update(id, kept);
-      if (!kept.final()) h.job_known(id, kept, false, 0, 0);
+      if (!kept.final()) h.on_job_record(id, kept, false, 0, 0);
     }
-    benchmark::DoNotOptimize(h.waiting());
+    benchmark::DoNotOptimize(h.waiting_tasks());
   }
 }
 
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -171,11 +171,12 @@
     const Micros began = loop_.now();
     more |= owned.controller->tick(began, owned_shares_.refusal(owned));
     planning_.add(loop_.now() - began);
-    for (const Micros w : owned.controller->take_waits()) waits_.add(w);
+    for (const Micros w : owned.controller->take_start_waits()) waits_.add(w);
     for (const Micros w : owned.controller->take_result_waits()) result_waits_.add(w);
   }
   for (auto& [s, owned] : owned_shares_.all())
-    for (const auto& [machine, to] : owned.controller->drained()) result_writer_.move_machine(machine, to);
+    for (const auto& [machine, to] : owned.controller->drained_machines())
+      result_writer_.move_machine(machine, to);
   worker_api_.push_orders();
   result_writer_.tick();
   if (more) poke();
@@ -212,13 +213,13 @@
 void Controller::result_metrics(int share, const share::ShareController& controller) const {
   const auto held = controller.held_results(loop_.now());
   spdlog::info("metrics: share {} results not recorded: {} on {} machines, the oldest for {:.1f} s", share,
-               held.results, held.machines, to_seconds(held.oldest));
-  const auto a = controller.attribution();
+               held.results, held.machines, to_seconds(held.oldest_age));
+  const auto a = controller.attribution_counts();
   spdlog::info(
       "metrics: share {} reported before their jobs' records: {} attempts and {} results open, "
       "{} and {} attributed, {} and {} dropped",
-      share, a.open_attempts, a.open_results, a.attributed_attempts, a.attributed_results, a.dropped_attempts,
-      a.dropped_results);
+      share, a.unattributed_attempts, a.unattributed_results, a.attributed_attempts, a.attributed_results,
+      a.dropped_attempts, a.dropped_results);
   spdlog::info("metrics: share {} releases refused:{}", share,
                counts_text<place::ReleaseRefusal>(controller.releases_refused()));
 }
@@ -243,11 +244,11 @@
       spdlog::info("metrics: share {} {}: {} machines, cpus {} of {} free, gpus {} of {} free", share, type,
                    sum.machines, sum.free.cpus / 1'000'000, sum.total.cpus / 1'000'000,
                    sum.free.gpus / 1'000'000, sum.total.gpus / 1'000'000);
-    spdlog::info("metrics: share {} waiting tasks {}", share, owned.controller->waiting());
+    spdlog::info("metrics: share {} waiting tasks {}", share, owned.controller->waiting_tasks());
     spdlog::info("metrics: share {} attempts freed:{}", share,
-                 counts_text<place::Freed>(owned.controller->freed()));
+                 counts_text<place::Freed>(owned.controller->freed_attempts()));
     spdlog::info("metrics: share {} starts refused:{}", share,
-                 counts_text<place::StartRefusal>(owned.controller->refused()));
+                 counts_text<place::StartRefusal>(owned.controller->refused_starts()));
     result_metrics(share, *owned.controller);
   }
   for (std::size_t i = 0; i < place::kInvariants; ++i)
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -251,7 +251,7 @@
   const auto* known = needs_.records.job(id);
   const int share = known && known->spec ? own.share_of_team(known->spec->team) : -1;
   if (const auto* owned = needs_.owned_shares.find(share)) {
-    if (const auto tally = owned->controller->tally(id)) note_tally(id, *tally);
+    if (const auto tally = owned->controller->task_counts(id)) note_tally(id, *tally);
   } else if (const OwnerKey* key = own.owner(share); key && key->node != platform_.name) {
     const std::uint32_t ask = ++asked_;
     if (needs_.peers.send(key->node, share::StatusAsk{ask, id})) {
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -127,11 +127,11 @@
     const int s = share;
     share::ShareController& h = *owned.controller;
     auto known = [&h, s, now, taken = owned.taken_version](const share::MachineRecord& m) {
-      if (m.share == s) h.machine_known(m, m.version > taken, now);
+      if (m.share == s) h.on_machine_record(m, m.version > taken, now);
     };
     for (const auto& id : changed) {
       const auto* m = records().machine(id);
-      if (!m || m->share != s) h.machine_gone(id, now);
+      if (!m || m->share != s) h.on_machine_removed(id, now);
     }
     if (!owned.loading) {
       for (const auto& id : changed)
@@ -196,7 +196,7 @@
       owned->controller->load_done(name->first, name->second, r.value.get<std::string>(), r.version);
     }
     needs_.records.delete_keys(std::move(over));  // left by an owner that ended, or that knew no such rows
-    owned->controller->loaded(needs_.loop.now());
+    owned->controller->finish_loading(needs_.loop.now());
     needs_.poke();
   });
 }
@@ -208,11 +208,11 @@
     if (record.spec) owned.controller->note_gpu_job(*record.spec);
     if (!record.final() && own_.share_of_team(record.spec->team) != share) continue;
     const std::uint64_t since = std::max(record.version, records().graph().ready_version(id));
-    owned.controller->job_known(id, record, since > owned.taken_version, needs_.loop.now(),
-                                needs_.loop.time_of_day());
+    owned.controller->on_job_record(id, record, since > owned.taken_version, needs_.loop.now(),
+                                    needs_.loop.time_of_day());
     if (!record.final())
-      owned.controller->set_course(id, records().graph().course(id, record), needs_.loop.now(),
-                                   needs_.loop.time_of_day());
+      owned.controller->set_priority_and_deadline(id, records().graph().course(id, record), needs_.loop.now(),
+                                                  needs_.loop.time_of_day());
   }
 }
 
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -205,7 +205,7 @@
   share::StatusTell t;
   t.request = q.request;
   for (const auto& [s, owned] : needs_.owned_shares.all())
-    if (auto tally = owned.controller->tally(q.job))
+    if (auto tally = owned.controller->task_counts(q.job))
       t.known = true, t.done = tally->first, t.running = tally->second;
   reply(t);
 }
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -31,7 +31,8 @@
   finish_jobs();
   cancel_doomed();
   const bool all_new = needs_.records.all_read_units();
-  for (auto& [s, owned] : needs_.owned_shares.all()) owned.controller->set_all_read_units(all_new);
+  for (auto& [s, owned] : needs_.owned_shares.all())
+    owned.controller->set_all_controllers_read_units(all_new);
   write_done();
   read_chunks_of_others();
 }
@@ -50,7 +51,7 @@
     if (!needs_.owned_shares.owns(owned)) continue;
     const auto most = static_cast<std::size_t>(std::max(0.0, progress_level_));
     const auto writes =
-        owned.controller->done_writes(std::min({needs_.store.txn_ops(), kDoneAtOnce, most}), t);
+        owned.controller->take_done_writes(std::min({needs_.store.txn_ops(), kDoneAtOnce, most}), t);
     progress_level_ -= static_cast<double>(writes.size());
     if (writes.empty()) continue;
     std::vector<wire::Guard> guards{{owner_key(s), owned.key_version}};
@@ -65,7 +66,7 @@
                             OwnedShares::OwnedShare* h = needs_.owned_shares.find(s, made);
                             if (!h) return;
                             if (code == 200)
-                              h->controller->done_written(w, true, revision);
+                              h->controller->on_done_write_result(w, true, revision);
                             else
                               wrote_done(s, made, w);
                           }
@@ -80,7 +81,7 @@
   if (now - last_read_of_others_ < kReadOthersAgain) return;
   last_read_of_others_ = now;
   for (auto& [s, owned] : needs_.owned_shares.all()) {
-    const auto chunks = owned.controller->chunks_of_others();
+    const auto chunks = owned.controller->needed_chunks_of_other_shares();
     if (chunks.empty()) continue;
     auto next = chunks.upper_bound(last_chunk_of_others_);
     if (next == chunks.end()) next = chunks.begin();
@@ -95,7 +96,7 @@
         [this, s = s, made = owned.made, job = job, chunk = chunk](int code, const wire::Row& row) {
           OwnedShares::OwnedShare* h = needs_.owned_shares.find(s, made);
           if (h && code == 200 && row.value.is_string())
-            h->controller->chunk_of_other(job, chunk, row.value.get<std::string>());
+            h->controller->on_chunk_of_other_share(job, chunk, row.value.get<std::string>());
         });
   }
 }
@@ -107,14 +108,14 @@
                      OwnedShares::OwnedShare* h = needs_.owned_shares.find(s, made);
                      if (!h) return;
                      const std::uint64_t version = code == 200 ? row.version : code == 404 ? 0 : w.version;
-                     h->controller->done_written(w, false, version);
+                     h->controller->on_done_write_result(w, false, version);
                    });
 }
 
 void ResultWriter::finish_jobs() {
   for (auto& [s, owned] : needs_.owned_shares.all()) {
     if (!needs_.owned_shares.owns(owned)) continue;
-    for (const auto& id : owned.controller->complete_jobs()) {
+    for (const auto& id : owned.controller->jobs_to_commit()) {
       const auto* known = needs_.records.job(id);
       if (!known || known->final()) continue;
       owned.controller->set_committing(id, true);
@@ -130,7 +131,7 @@
   record.finished = needs_.loop.time_of_day();
   std::vector<wire::Write> writes{{kJob + id, job::record_to_json(record), {}, false}};
   std::vector<std::string> rest;
-  for (const auto& name : owned.controller->done_keys(id)) {
+  for (const auto& name : owned.controller->done_row_keys(id)) {
     const std::string key = kProgress + std::to_string(s) + "/" + name;
     if (writes.size() < needs_.store.txn_ops())
       writes.push_back({key, nullptr, {}, true});
@@ -278,7 +279,7 @@
 /// Surely not moved: it is used again.
 void ResultWriter::stay(const std::string& machine, int from) {
   moving_.erase(machine);
-  if (auto* owned = needs_.owned_shares.find(from)) owned->controller->keep(machine);
+  if (auto* owned = needs_.owned_shares.find(from)) owned->controller->cancel_release(machine);
 }
 
 }  // namespace aspenwick::app
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -95,13 +95,13 @@
   for (auto& [share, owned] : needs_.owned_shares.all()) {
     if (!needs_.owned_shares.owns(owned)) continue;
     if (pushing_ >= most_pushes_) return;  // each takes a socket; reports carry orders too
-    for (const auto& p : owned.controller->pushes(needs_.loop.now(), most_pushes_ - pushing_,
-                                                  needs_.owned_shares.refusal(owned)))
+    for (const auto& p : owned.controller->take_pushes(needs_.loop.now(), most_pushes_ - pushing_,
+                                                       needs_.owned_shares.refusal(owned)))
       push(share, owned.made, p);
   }
 }
 
-void WorkerApi::push(int share, std::uint64_t made, const share::ShareController::Push& p) {
+void WorkerApi::push(int share, std::uint64_t made, const share::ShareController::OrderPush& p) {
   wire::Endpoint to;
   try {
     to = wire::parse_endpoint(p.address);
--- a/src/app/worker_api.h
+++ b/src/app/worker_api.h
@@ -41,7 +41,7 @@
   void answer(const net::ExchangePtr& x, const wire::WorkerReport& r, bool may_adopt);
   void adopt(const net::ExchangePtr& x, const wire::WorkerReport& r);
   void refuse(const net::ExchangePtr& x, int share, const std::string& by_keys, const char* why) const;
-  void push(int share, std::uint64_t made, const share::ShareController::Push& push);
+  void push(int share, std::uint64_t made, const share::ShareController::OrderPush& push);
   void pushed(int share, std::uint64_t made, const std::string& machine, int code, const std::string& body);
 
   const wire::PlatformSettings& platform_;
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -89,24 +89,24 @@
 
 bool Provisioner::suits(const Want& w, std::size_t type, const std::string& zone, bool spot) const {
   const auto& d = w.demand;
-  if (type >= types_.size() || (type < 64 && !(d.types >> type & 1))) return false;
+  if (type >= types_.size() || (type < 64 && !(d.type_mask >> type & 1))) return false;
   if (spot && !d.spot) return false;
   const auto z = std::find(platform_.zones.begin(), platform_.zones.end(), zone) - platform_.zones.begin();
   if (d.zone != 255 && z != d.zone) return false;
-  if (z < 32 && (d.closed_zones >> z & 1)) return false;
-  if (d.per_zone > 0) {
+  if (z < 32 && (d.closed_zone_mask >> z & 1)) return false;
+  if (d.max_per_zone > 0) {
     auto it = w.zones.find(zone);
-    if (it != w.zones.end() && it->second >= d.per_zone) return false;
+    if (it != w.zones.end() && it->second >= d.max_per_zone) return false;
   }
   return true;
 }
 
 bool Provisioner::usable(const Want& w, const Room& r) const {
   if (!suits(w, r.type, r.zone, r.spot)) return false;
-  if (w.demand.plain_only && types_[r.type].total.gpus > 0) return false;  // as its owner does
+  if (w.demand.excludes_gpu_machines && types_[r.type].total.gpus > 0) return false;  // as its owner does
   // As the owner does: only work that can make way shares a machine with GPU work.
   return w.demand.need.gpus > 0 || r.type >= gpu_wanted_.size() || !gpu_wanted_[r.type] ||
-         w.demand.any_room ||
+         w.demand.accepts_any_machine ||
          (w.demand.rank == wire::Rank::low && w.demand.shape == wire::Shape::array && !r.booting);
 }
 
@@ -117,7 +117,7 @@
     r.free -= w.demand.need;
     r.touched = true;
     --w.left, ++w.fitted, ++n;
-    if (w.demand.per_zone > 0) ++w.zones[r.zone];
+    if (w.demand.max_per_zone > 0) ++w.zones[r.zone];
   }
   return n;
 }
@@ -153,7 +153,7 @@
       plan.wants.push_back({s.share, d, d.waiting, 0, false, {}});
       if (can_wait(d)) plan.low_running[s.share] += d.running;
       for (std::size_t t = 0; t < types_.size() && t < 64; ++t)
-        if (d.need.gpus > 0 && (d.types >> t & 1)) gpu_wanted_[t] = true;
+        if (d.need.gpus > 0 && (d.type_mask >> t & 1)) gpu_wanted_[t] = true;
     }
   std::erase_if(draining_, [&](const auto& d) { return plan.now >= d.second.second; });
   for (const auto& s : shares)
@@ -230,7 +230,7 @@
     if (w.left > 0 && w.demand.rank >= wire::Rank::high)
       spdlog::debug("share {}: no room for {} of {} tasks of rank {}, slack {} ms, closed zones {:b}",
                     w.share, w.left, w.demand.waiting, static_cast<int>(w.demand.rank), w.demand.slack_ms,
-                    w.demand.closed_zones);
+                    w.demand.closed_zone_mask);
   }
   level(plan);
   give_back(plan);
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -90,7 +90,7 @@
 bool Provisioner::roomy(const Room& r, const Want& w) const {
   if (w.demand.need.gpus == 0 && r.free.gpus < types_[r.type].total.gpus && !only_beside_gpu_work(w))
     return false;
-  return w.demand.passed_over && !r.booting && !r.empty && r.share != w.share && !draining_.contains(r.id) &&
+  return w.demand.starved && !r.booting && !r.empty && r.share != w.share && !draining_.contains(r.id) &&
          r.top_rank < wire::Rank::production && r.left_alone && usable(w, r) &&
          w.demand.need.fits_in(r.free) && w.demand.need.fits_in(r.unused);
 }
@@ -108,7 +108,7 @@
 /// A job that was passed over for long while another share has room beside what runs on its machines: the one
 /// with the least on it makes way. Else it would wait as long as that share has anything to do.
 void Provisioner::take_roomy(Plan& plan, Want& w) {
-  if (!w.demand.passed_over) return;
+  if (!w.demand.starved) return;
   while (w.left > 0) {
     Room* best = nullptr;
     const auto key = [&](const Room& r) {
@@ -129,7 +129,7 @@
 
 /// What runs there may take longer than a drain lasts.
 void Provisioner::keep_draining(Plan& plan, const Want& w) {
-  if (!w.demand.passed_over) return;
+  if (!w.demand.starved) return;
   for (auto& [id, d] : draining_) {
     if (d.first != w.share || d.second - plan.now > kDrainOn) continue;
     const auto r =
@@ -144,7 +144,8 @@
 /// No other machine could ever hold it.
 bool Provisioner::only_beside_gpu_work(const Want& w) const {
   for (std::size_t t = 0; t < types_.size(); ++t)
-    if (!gpu_wanted_[t] && rooms_in(w.demand, types_[t].total) > 0 && (t >= 64 || w.demand.types >> t & 1))
+    if (!gpu_wanted_[t] && rooms_in(w.demand, types_[t].total) > 0 &&
+        (t >= 64 || w.demand.type_mask >> t & 1))
       return false;
   return true;
 }
--- a/src/fleet/provisioner_renting.cpp
+++ b/src/fleet/provisioner_renting.cpp
@@ -32,7 +32,7 @@
       for (const bool spot : {true, false}) {
         if (!suits(w, t, zone, spot) || (!only_zone.empty() && zone != only_zone)) continue;
         std::uint32_t use = std::min(w.left, fits);
-        if (w.demand.per_zone > 0) use = std::min(use, w.demand.per_zone);
+        if (w.demand.max_per_zone > 0) use = std::min(use, w.demand.max_per_zone);
         double cost = (spot ? spot_price : types_[t].price) / std::max(1U, use);
         // Each machine that joins takes a change: while many are on their way, larger ones are sooner of use.
         if (booting_.size() > kManyBooting) cost /= 1 + kLargerWorth * std::log2(std::max(1U, use));
@@ -85,7 +85,7 @@
   double cheapest = 1e18;
   for (std::size_t t = 0; t < types_.size(); ++t)
     if (const auto fits = rooms_in(w.demand, types_[t].total);
-        fits > 0 && (t >= 64 || w.demand.types >> t & 1))
+        fits > 0 && (t >= 64 || w.demand.type_mask >> t & 1))
       cheapest = std::min(cheapest, (w.demand.spot ? types_[t].spot_price : types_[t].price) /
                                         std::min(std::max(1U, w.left), fits));
   double low = 0;
@@ -105,9 +105,9 @@
         low >= 2.0 * w.left)
       continue;
     std::uint32_t tasks = wanted(plan, w, dear);
-    if (w.demand.per_zone > 0) {
+    if (w.demand.max_per_zone > 0) {
       auto z = w.zones.find(o.zone);
-      tasks = std::min(tasks, w.demand.per_zone - (z == w.zones.end() ? 0 : z->second));
+      tasks = std::min(tasks, w.demand.max_per_zone - (z == w.zones.end() ? 0 : z->second));
     }
     if (tasks == 0) continue;
     const std::uint32_t before = w.fitted;
@@ -131,7 +131,7 @@
     choices.push_back({platform_.zones[z]});
   for (auto& c : choices) {
     // What runs there may take long: only where the cloud has no more machines.
-    const bool roomy_too = w.demand.passed_over && offers(w, plan.now, c.zone).empty();
+    const bool roomy_too = w.demand.starved && offers(w, plan.now, c.zone).empty();
     for (const auto& r : plan.rooms) {
       if ((!c.zone.empty() && r.zone != c.zone) || !usable(w, r)) continue;
       const auto n = rooms_in(w.demand, r.free);
--- a/src/fleet/provisioner_terms.h
+++ b/src/fleet/provisioner_terms.h
@@ -17,7 +17,9 @@
 }
 
 /// Of one task, in seconds.
-inline double run_time(const share::Demand& d) { return d.guess_ms > 0 ? d.guess_ms / 1e3 : kUnknownRun; }
+inline double run_time(const share::Demand& d) {
+  return d.estimated_run_ms > 0 ? d.estimated_run_ms / 1e3 : kUnknownRun;
+}
 
 /// Task seconds still to come, with half of what runs.
 inline double work_in_hand(const share::Demand& d) { return (d.waiting + 0.5 * d.running) * run_time(d); }
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -85,18 +85,18 @@
     w.num<std::uint16_t>(static_cast<std::uint16_t>(s.demands.size()));
     for (const auto& d : s.demands) {
       w.resources(d.need);
-      w.num<std::uint64_t>(d.types);
+      w.num<std::uint64_t>(d.type_mask);
       w.num<std::uint8_t>(d.zone);
       w.num<std::uint8_t>(static_cast<std::uint8_t>(d.rank));
       w.num<std::uint8_t>(static_cast<std::uint8_t>(d.shape));
-      w.num<std::uint8_t>(static_cast<std::uint8_t>(d.spot | d.one_zone << 1 | d.plain_only << 2 |
-                                                    d.passed_over << 3 | d.any_room << 4));
+      w.num<std::uint8_t>(static_cast<std::uint8_t>(d.spot | d.one_zone << 1 | d.excludes_gpu_machines << 2 |
+                                                    d.starved << 3 | d.accepts_any_machine << 4));
       w.num<std::uint32_t>(d.waiting);
       w.num<std::uint32_t>(d.running);
-      w.num<std::uint32_t>(d.closed_zones);
-      w.num<std::uint32_t>(d.per_zone);
+      w.num<std::uint32_t>(d.closed_zone_mask);
+      w.num<std::uint32_t>(d.max_per_zone);
       w.num<std::uint32_t>(d.slack_ms);
-      w.num<std::uint32_t>(d.guess_ms);
+      w.num<std::uint32_t>(d.estimated_run_ms);
     }
     w.num<std::uint16_t>(static_cast<std::uint16_t>(s.machines.size()));
     for (const auto& m : s.machines) {
@@ -125,21 +125,21 @@
     for (int n = r.num<std::uint16_t>(); n > 0; --n) {
       Demand d;
       d.need = r.resources();
-      d.types = r.num<std::uint64_t>();
+      d.type_mask = r.num<std::uint64_t>();
       d.zone = r.num<std::uint8_t>();
       const auto rank = r.num<std::uint8_t>(), shape = r.num<std::uint8_t>();
       if (rank > 3 || shape > 2) throw BadFrame("bad value");
       d.rank = static_cast<wire::Rank>(rank);
       d.shape = static_cast<wire::Shape>(shape);
       const auto bits = r.num<std::uint8_t>();
-      d.spot = bits & 1, d.one_zone = bits & 2, d.plain_only = bits & 4;
-      d.passed_over = bits & 8, d.any_room = bits & 16;  // left unread by the versions before
+      d.spot = bits & 1, d.one_zone = bits & 2, d.excludes_gpu_machines = bits & 4;
+      d.starved = bits & 8, d.accepts_any_machine = bits & 16;  // left unread by the versions before
       d.waiting = r.num<std::uint32_t>();
       d.running = r.num<std::uint32_t>();
-      d.closed_zones = r.num<std::uint32_t>();
-      d.per_zone = r.num<std::uint32_t>();
+      d.closed_zone_mask = r.num<std::uint32_t>();
+      d.max_per_zone = r.num<std::uint32_t>();
       d.slack_ms = r.num<std::uint32_t>();
-      d.guess_ms = r.num<std::uint32_t>();
+      d.estimated_run_ms = r.num<std::uint32_t>();
       s.demands.push_back(d);
     }
     for (int n = r.num<std::uint16_t>(); n > 0; --n) {
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -10,14 +10,14 @@
 using wire::Shape;
 
 namespace {
-constexpr double kDrift = 0.001;  // two clocks of 0.05% each
-constexpr Micros kMargin = 300 * kMillisecond;
-constexpr Micros kLookAgain = 200 * kMillisecond;
-constexpr std::uint64_t kMostPlaced =
+constexpr double kClockDrift = 0.001;  // two clocks of 0.05% each
+constexpr Micros kLeaseMargin = 300 * kMillisecond;
+constexpr Micros kFullPassInterval = 200 * kMillisecond;
+constexpr std::uint64_t kMaxPlacedPerPass =
     1000;  // in one pass, a few milliseconds: leases and reports wait for it
-constexpr Micros kDefaultWait = 60 * kSecond;
-constexpr Micros kDrainFor = 20 * kSecond;
-constexpr Micros kSilentFor = 1500 * kMillisecond;  // after a takeover, before it is worth a line
+constexpr Micros kDefaultStartWithin = 60 * kSecond;
+constexpr Micros kDrainTimeout = 20 * kSecond;
+constexpr Micros kUnreportedLogDelay = 1500 * kMillisecond;  // after a takeover, before it is worth a line
 }  // namespace
 
 std::uint64_t epoch_of_token(std::uint64_t token) { return token >> place::kEpochShift; }
@@ -49,20 +49,21 @@
       settings_(settings),
       epoch_(epoch),
       renewable_until_(renewable_until),
-      lookup_(std::move(lookup)),
-      held_since_(now),
+      lookup_job_(std::move(lookup)),
+      taken_over_at_(now),
       placement_(platform, types, view_, settings.rnn, epoch) {
-  for (const auto& z : platform.zones) zones_.push_back(view_.zone(z));
+  for (const auto& z : platform.zones) zone_ids_.push_back(view_.zone(z));
 }
 
-Micros ShareController::surely_lapsed(Micros answered) const {
-  return answered + static_cast<Micros>(static_cast<double>(platform_.worker_lease) * (1 + kDrift)) + kMargin;
+Micros ShareController::latest_lease_end(Micros answered) const {
+  return answered + static_cast<Micros>(static_cast<double>(platform_.worker_lease) * (1 + kClockDrift)) +
+         kLeaseMargin;
 }
 
-std::uint64_t ShareController::floor(const Machine& m) const {
+std::uint64_t ShareController::min_token(const Machine& m) const {
   return std::max(epoch_, m.record.epoch) << place::kEpochShift;
 }
-std::uint64_t ShareController::token(const Machine& m) const { return floor(m) + m.bump; }
+std::uint64_t ShareController::current_token(const Machine& m) const { return min_token(m) + m.bump; }
 
 void ShareController::raise_epoch(std::uint64_t epoch) {
   if (epoch <= epoch_) return;
@@ -73,11 +74,11 @@
 
 // ---------------------------------------------------------------- events
 
-void ShareController::job_known(const std::string& id, const JobRecord& record, bool fresh, Micros now,
-                                Micros time_of_day) {
+void ShareController::on_job_record(const std::string& id, const JobRecord& record, bool fresh, Micros now,
+                                    Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (record.final()) {
-    rows_before_jobs_.erase(id);
+    rows_of_unplanned_jobs_.erase(id);
     if (it == view_.jobs.end()) return;
     Job& j = *it->second;
     (record.status == wire::JobStatus::cancelled ? j.cancelled : j.finished) = true;
@@ -101,7 +102,7 @@
   j->spec = record.spec;
   j->id = id;
   j->kind = view_.kind_of(*record.spec, types_);
-  j->start_within = kDefaultWait;
+  j->start_within = kDefaultStartWithin;
   for (const auto& o : platform_.objectives)
     if (o.job_class == record.spec->job_class) {
       if (o.kind == "wait") j->start_within = o.within;
@@ -119,15 +120,15 @@
   j->recorded = j->recorded_whole = j->done;
   Job& known = *view_.jobs.emplace(id, std::move(j)).first->second;
   ++view_.changes;
-  const auto rows = rows_before_jobs_.extract(id);
+  const auto rows = rows_of_unplanned_jobs_.extract(id);
   if (rows)
     for (const auto& [row, read] : rows.mapped()) load_done(id, row, read.text, read.version);
   // Before anything of it can be placed: its tasks may be running, or done, on machines that told so already.
-  attribute(known, now);
+  attribute_to_job(known, now);
 }
 
-void ShareController::set_course(const std::string& id, const job::Course& course, Micros now,
-                                 Micros time_of_day) {
+void ShareController::set_priority_and_deadline(const std::string& id, const job::Course& course, Micros now,
+                                                Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
@@ -141,12 +142,12 @@
   if (course.finish_by) j.finish_by = now + (*course.finish_by - time_of_day);
 }
 
-void ShareController::loaded(Micros now) {
+void ShareController::finish_loading(Micros now) {
   loaded_ = true;
-  check_rebuilt(now);
+  update_rebuilt(now);
 }
 
-void ShareController::machine_known(const MachineRecord& record, bool handed_empty, Micros now) {
+void ShareController::on_machine_record(const MachineRecord& record, bool handed_empty, Micros now) {
   const bool added = !view_.machines.contains(record.id);
   Machine& m = view_.join(record);
   if (!added) return;
@@ -157,60 +158,60 @@
   // lease that the former owner could last have renewed has lapsed. One that joins later was handed over
   // empty.
   m.handed_empty = handed_empty;
-  m.lapse_at = surely_lapsed(handed_empty ? now : std::max(now, renewable_until_));
+  m.lapse_at = latest_lease_end(handed_empty ? now : std::max(now, renewable_until_));
   m.idle_since = now;
   m.gpu_idle_since = now;
   m.neuron = placement_.rnn().join(record.id);
 }
 
-void ShareController::machine_gone(const std::string& id, Micros now) {
+void ShareController::on_machine_removed(const std::string& id, Micros now) {
   auto it = view_.machines.find(id);
   if (it == view_.machines.end()) return;
-  lapse(it->second, now, Freed::left_share);
+  drop_all_attempts(it->second, now, Freed::left_share);
   placement_.rnn().leave(it->second.neuron);
   view_.leave(it);
-  check_rebuilt(now);
+  update_rebuilt(now);
 }
 
 // ---------------------------------------------------------------- planning
 
-void ShareController::check_rebuilt(Micros) {
+void ShareController::update_rebuilt(Micros) {
   if (view_.rebuilt || !loaded_) return;
   for (const auto& [id, m] : view_.machines)
-    if ((!m.accounted && !m.handed_empty) || awaits_records(m)) return;
+    if ((!m.accounted && !m.handed_empty) || awaits_job_records(m)) return;
   view_.rebuilt = true;
   spdlog::info("share {}: rebuilt, {} machines, {} jobs", settings_.share, view_.machines.size(),
                view_.jobs.size());
 }
 
 /// Which machines keep a takeover from being whole, for operators: said once.
-void ShareController::say_silent(Micros now) {
-  if (view_.rebuilt || said_silent_ || now - held_since_ < kSilentFor) return;
-  said_silent_ = true;
-  std::size_t silent = 0;
+void ShareController::log_unreported_machines(Micros now) {
+  if (view_.rebuilt || logged_unreported_machines_ || now - taken_over_at_ < kUnreportedLogDelay) return;
+  logged_unreported_machines_ = true;
+  std::size_t unreported = 0;
   const Machine* first = nullptr;
   for (const Machine* m : view_.all)
-    if (!m->accounted && !m->handed_empty && ++silent == 1) first = m;
+    if (!m->accounted && !m->handed_empty && ++unreported == 1) first = m;
   if (first)
-    spdlog::info("share {}: {} of {} machines have not answered, {} ({}, {}{}) ...", settings_.share, silent,
-                 view_.machines.size(), first->record.id, first->record.type, first->record.zone,
+    spdlog::info("share {}: {} of {} machines have not answered, {} ({}, {}{}) ...", settings_.share,
+                 unreported, view_.machines.size(), first->record.id, first->record.type, first->record.zone,
                  first->spot ? ", spot" : "");
 }
 
-bool ShareController::tick(Micros now, StartRefusal of_owner) {
+bool ShareController::tick(Micros now, StartRefusal owner_refusal) {
   if (!loaded_) return false;
-  say_silent(now);
-  attribute_open(now);
-  for (Machine* at : view_.all) {
-    Machine& m = *at;
+  log_unreported_machines(now);
+  resolve_unattributed_attempts(now);
+  for (Machine* entry : view_.all) {
+    Machine& m = *entry;
     if (now >= m.lapse_at && (m.up || !m.accounted)) {
-      lapse(m, now, Freed::lease_expired);
+      drop_all_attempts(m, now, Freed::lease_expired);
       m.up = false;
       m.accounted = true;
       view_.gained();
-      check_rebuilt(now);
+      update_rebuilt(now);
     }
-    note_result_wait(m, now);
+    measure_result_wait(m, now);
     if (m.drain_until > 0 && now >= m.drain_until) m.drain_until = 0, m.drain_to = -2, view_.gained();
     if (m.taken_at)  // save what can be saved before the machine goes
       for (auto& [key, p] : m.tasks)
@@ -221,19 +222,19 @@
             view_.halt(p, p.job->spec->save_time);
         }
   }
-  if (of_owner != StartRefusal::none) {
-    if (waiting() > 0) count_refusal(of_owner);
+  if (owner_refusal != StartRefusal::none) {
+    if (waiting_tasks() > 0) count_start_refusal(owner_refusal);
     return false;
   }
   // A pass costs what changed: what was tried in vain since then isn't tried again, and nothing is where
   // nothing changed. What only time brings (room no longer held, a deadline that presses) is looked for now
   // and then.
-  const bool due = now - looked_ >= kLookAgain || now < looked_;
-  if (due) looked_ = now, view_.gained();
-  if (!due && placed_at_ == view_.changes) return false;
-  const bool whole = placement_.place_all(now, kMostPlaced);
-  if (whole) placed_at_ = view_.changes;
-  return !whole;
+  const bool due = now - last_full_pass_ >= kFullPassInterval || now < last_full_pass_;
+  if (due) last_full_pass_ = now, view_.gained();
+  if (!due && changes_at_last_complete_pass_ == view_.changes) return false;
+  const bool complete = placement_.place_all(now, kMaxPlacedPerPass);
+  if (complete) changes_at_last_complete_pass_ = view_.changes;
+  return !complete;
 }
 
 // ---------------------------------------------------------------- giving machines away
@@ -258,14 +259,14 @@
   if (m.drain_until > now && (rank != Rank::low || m.drain_to != to)) return;
   if (rank == Rank::low) {  // nothing ranks below: what runs may finish, nothing more is placed
     m.drain_to = to;
-    m.drain_until = now + 2 * kDrainFor;
+    m.drain_until = now + 2 * kDrainTimeout;
     return;
   }
   for (const auto& [key, p] : m.tasks)
     if (!p.job || p.job->rank >= rank) return;
   spdlog::info("machine {}: {} tasks stopped to give it to share {}", machine, m.tasks.size(), to);
   m.drain_to = to;
-  m.drain_until = now + kDrainFor;
+  m.drain_until = now + kDrainTimeout;
   for (auto& [key, p] : m.tasks) {
     const Micros grace = p.job->spec->checkpoint_every > 0 ? p.job->spec->save_time : 0;
     if (p.job->spec->shape == Shape::gang)
@@ -275,7 +276,7 @@
   }
 }
 
-std::vector<std::pair<std::string, int>> ShareController::drained() const {
+std::vector<std::pair<std::string, int>> ShareController::drained_machines() const {
   std::vector<std::pair<std::string, int>> out;
   for (const auto& [id, m] : view_.machines)
     if (m.drain_until > 0 && m.drain_to >= -1 && release_refusal(m) == ReleaseRefusal::none)
@@ -283,7 +284,7 @@
   return out;
 }
 
-void ShareController::keep(const std::string& machine) {
+void ShareController::cancel_release(const std::string& machine) {
   if (auto it = view_.machines.find(machine); it != view_.machines.end())
     it->second.leaving = false, view_.gained();
 }
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -12,31 +12,31 @@
 using wire::TaskReport;
 using wire::TaskState;
 
-ShareController::JobStanding ShareController::standing_of(const std::string& job) const {
-  if (view_.jobs.contains(job)) return JobStanding::planned;
-  const JobRecord* record = lookup_(job);
-  if (record && record->final()) return JobStanding::over;
-  if (!record || !record->spec) return JobStanding::not_known;  // or not whole yet
+ShareController::JobDisposition ShareController::disposition_of(const std::string& job) const {
+  if (view_.jobs.contains(job)) return JobDisposition::planned;
+  const JobRecord* record = lookup_job_(job);
+  if (record && record->final()) return JobDisposition::ended;
+  if (!record || !record->spec) return JobDisposition::not_known;  // or not whole yet
   // A job of ours that is not planned waits for others, as far as we know.
   const bool ours = !settings_.owns_team || settings_.owns_team(record->spec->team);
-  return ours ? JobStanding::not_known : JobStanding::of_another_share;
+  return ours ? JobDisposition::not_known : JobDisposition::of_another_share;
 }
 
 /// Its job's record may still be on its way to us, or is there and not whole.
-bool ShareController::may_have_a_job(const Placed& p) const {
-  const JobRecord* record = lookup_(p.job_id);
+bool ShareController::may_have_job_record(const Placed& p) const {
+  const JobRecord* record = lookup_job_(p.job_id);
   return records_as_of_ <= p.started || (record && !record->spec);
 }
 
 /// One of its attempts may be of any team.
-bool ShareController::awaits_records(const Machine& m) const {
+bool ShareController::awaits_job_records(const Machine& m) const {
   return m.unattributed > 0 && std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
            return t.second.unattributed && records_as_of_ <= t.second.started;
          });
 }
 
 /// An attempt that the machine reports and its account doesn't have.
-void ShareController::adopt(Machine& m, const TaskReport& t, Micros now) {
+void ShareController::add_reported_attempt(Machine& m, const TaskReport& t, Micros now) {
   Placed p;
   p.job_id = t.job;
   p.index = t.index;
@@ -44,37 +44,37 @@
   p.phase = t.state == TaskState::running ? Phase::running : Phase::present;
   p.fetching = t.state == TaskState::fetching;
   p.started = now;
-  account_for(m, std::move(p), now);
+  add_attempt(m, std::move(p), now);
 }
 
-void ShareController::account_for(Machine& m, Placed p, Micros now) {
-  const JobRecord* record = lookup_(p.job_id);
-  switch (standing_of(p.job_id)) {
-    case JobStanding::planned: {
+void ShareController::add_attempt(Machine& m, Placed p, Micros now) {
+  const JobRecord* record = lookup_job_(p.job_id);
+  switch (disposition_of(p.job_id)) {
+    case JobDisposition::planned: {
       Job& job = *view_.jobs.at(p.job_id);
-      return account_for_planned(job, m, std::move(p), now);
+      return add_attempt_of_planned_job(job, m, std::move(p), now);
     }
-    case JobStanding::over:
-    case JobStanding::of_another_share:
+    case JobDisposition::ended:
+    case JobDisposition::of_another_share:
       // What is over holds its place and counts against its team until it is gone.
       if (record->spec) p.need = record->spec->need, p.team = record->spec->team;
       view_.halt(p, 0);
       break;
-    case JobStanding::not_known:
-      p.unattributed = may_have_a_job(p);
+    case JobDisposition::not_known:
+      p.unattributed = may_have_job_record(p);
       if (p.unattributed) break;
       // Started before we heard of it, its job would have a record by now; or it waits for others, and
       // nothing of it may run.
       spdlog::info("machine {}: {}/{} try {} is stopped: no job that may run", m.record.id, p.job_id, p.index,
                    p.attempt);
-      ++attribution_.dropped_attempts;
+      ++attribution_counts_.dropped_attempts;
       view_.halt(p, 0);
       break;
   }
   view_.add(m, std::move(p));
 }
 
-void ShareController::account_for_planned(Job& j, Machine& m, Placed p, Micros now) {
+void ShareController::add_attempt_of_planned_job(Job& j, Machine& m, Placed p, Micros now) {
   if (p.index >= j.spec->tasks) {  // no task of it
     view_.halt(p, 0);
     return view_.add(m, std::move(p));
@@ -102,51 +102,51 @@
 
 /// A job that is planned from now on: what its machines reported before. Results first, so that a done task's
 /// other attempt is stopped.
-void ShareController::attribute(Job& j, Micros now) {
+void ShareController::attribute_to_job(Job& j, Micros now) {
   const auto of_job = [&j](const auto& entries, auto it) {
     return it != entries.end() && it->first.first == j.id;
   };
   for (const Machine* m : view_.all)
     for (auto it = m->results.lower_bound({j.id, 0}); of_job(m->results, it); ++it)
-      if (it->first.second < j.spec->tasks && set_done(j, it->first.second))
-        ++attribution_.attributed_results;
+      if (it->first.second < j.spec->tasks && mark_done(j, it->first.second))
+        ++attribution_counts_.attributed_results;
   if (view_.unattributed == 0) return;
   for (Machine* m : view_.all) {
     if (m->unattributed == 0) continue;
     for (auto it = m->tasks.lower_bound({j.id, 0}); of_job(m->tasks, it);) {
-      auto here = it++;
-      if (!here->second.unattributed) continue;
-      ++attribution_.attributed_attempts;
-      account_for(*m, view_.take_unattributed(*m, here), now);
+      auto current = it++;
+      if (!current->second.unattributed) continue;
+      ++attribution_counts_.attributed_attempts;
+      add_attempt(*m, view_.take_unattributed(*m, current), now);
     }
   }
-  check_rebuilt(now);
+  update_rebuilt(now);
 }
 
 /// What is over, another share's, or no job's by records read since.
-void ShareController::attribute_open(Micros now) {
+void ShareController::resolve_unattributed_attempts(Micros now) {
   if (view_.unattributed == 0) return;
   for (Machine* m : view_.all) {
     for (auto it = m->tasks.begin(); m->unattributed > 0 && it != m->tasks.end();) {
-      auto here = it++;
-      const Placed& p = here->second;
+      auto current = it++;
+      const Placed& p = current->second;
       if (!p.unattributed) continue;
-      const bool open = standing_of(p.job_id) == JobStanding::not_known;
-      if (open && may_have_a_job(p)) continue;
-      if (!open) ++attribution_.attributed_attempts;
-      account_for(*m, view_.take_unattributed(*m, here), now);
+      const bool unresolved = disposition_of(p.job_id) == JobDisposition::not_known;
+      if (unresolved && may_have_job_record(p)) continue;
+      if (!unresolved) ++attribution_counts_.attributed_attempts;
+      add_attempt(*m, view_.take_unattributed(*m, current), now);
     }
   }
-  check_rebuilt(now);
+  update_rebuilt(now);
 }
 
-ShareController::Attribution ShareController::attribution() const {
-  Attribution now = attribution_;
-  now.open_attempts = view_.unattributed;
+ShareController::AttributionCounts ShareController::attribution_counts() const {
+  AttributionCounts now = attribution_counts_;
+  now.unattributed_attempts = view_.unattributed;
   for (const Machine* m : view_.all)
     for (const auto& [task, result] : m->results)
-      if (standing_of(task.first) == JobStanding::not_known && result_needed(task, result.since))
-        ++now.open_results;
+      if (disposition_of(task.first) == JobDisposition::not_known && result_copy_needed(task, result.since))
+        ++now.unattributed_results;
   return now;
 }
 
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -11,49 +11,49 @@
 using wire::WorkerReport;
 
 namespace {
-constexpr std::size_t kMaxOrders = 300;  // keeps an answer well under 64 KiB
-constexpr Micros kRepeatHalt = kSecond;
-constexpr Micros kPushAgain = 2 * kSecond;  // twice as long after each further push that is lost
-constexpr int kMostDoubled = 5;
-constexpr Micros kLongestPause = 4;  // times between a worker's reports
+constexpr std::size_t kMaxOrdersPerAnswer = 300;  // keeps an answer well under 64 KiB
+constexpr Micros kHaltRepeatInterval = kSecond;
+constexpr Micros kPushRetryDelay = 2 * kSecond;  // twice as long after each further push that is lost
+constexpr int kMaxPushRetryDoublings = 5;
+constexpr Micros kMaxPushRetryReportIntervals = 4;  // times between a worker's reports
 }  // namespace
 
 /// The last look before an order to start leaves. What would break an invariant is refused and not tried
 /// again.
-bool ShareController::start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator at, StartRefusal of_owner,
-                                    Micros now) {
+bool ShareController::start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator attempt,
+                                    StartRefusal owner_refusal, Micros now) {
   using place::Invariant;
-  const StartRefusal why = place::start_refusal(view_, m, at->second, of_owner);
+  const StartRefusal why = place::start_refusal(view_, m, attempt->second, owner_refusal);
   if (why == StartRefusal::none) return true;
-  count_refusal(why);
+  count_start_refusal(why);
   if (!place::breaks_invariant(why)) return false;
-  const Placed& p = at->second;
+  const Placed& p = attempt->second;
   const auto which =
       why == StartRefusal::other_attempt ? Invariant::one_attempt_of_a_task : Invariant::done_is_final;
   place::violated(which, p.job_id + "/" + std::to_string(p.index) + " try " + std::to_string(p.attempt) +
                              " on " + m.record.id + ", epoch " + std::to_string(epoch_) + ": " +
                              std::string(place::to_string(why)));
-  view_.drop(m, at, now, Freed::refused);
+  view_.drop(m, attempt, now, Freed::refused);
   return false;
 }
 
 std::vector<Order> ShareController::take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
-                                                StartRefusal of_owner, Micros now) {
+                                                StartRefusal owner_refusal, Micros now) {
   std::vector<Order> out;
   bool launches = false;
-  for (auto it = m.tasks.begin(); it != m.tasks.end() && out.size() < kMaxOrders;) {
-    auto here = it++;
-    Placed& p = here->second;
+  for (auto it = m.tasks.begin(); it != m.tasks.end() && out.size() < kMaxOrdersPerAnswer;) {
+    auto current = it++;
+    Placed& p = current->second;
     if (p.halting) {
       if (p.phase == Phase::assigned) {
-        view_.drop(m, here, now, Freed::never_sent);
-      } else if (!by_push || now - p.halt_sent >= kRepeatHalt) {
+        view_.drop(m, current, now, Freed::never_sent);
+      } else if (!by_push || now - p.halt_sent >= kHaltRepeatInterval) {
         p.halt_sent = now;
         out.push_back({Order::Verb::halt, p.job_id, p.index, p.attempt, p.grace});
       }
       continue;
     }
-    if (p.phase != Phase::assigned || !start_allowed(m, here, of_owner, now)) continue;
+    if (p.phase != Phase::assigned || !start_allowed(m, current, owner_refusal, now)) continue;
     p.phase = Phase::sent;
     p.by_push = by_push;
     p.answer_seq = answer_seq;
@@ -61,49 +61,49 @@
     launches = true;
     out.push_back({Order::Verb::launch, p.job_id, p.index, p.attempt, 0});
     spdlog::debug("start {}/{} try {} on {} session {} token {} by {}", p.job_id, p.index, p.attempt,
-                  m.record.id, m.session, token(m), by_push ? "push" : "answer");
+                  m.record.id, m.session, current_token(m), by_push ? "push" : "answer");
   }
   // Room first: halts and forgets go before launches.
   std::stable_partition(out.begin(), out.end(), [](const Order& o) { return o.verb != Order::Verb::launch; });
   // A copy of a push that was carried out may come at any later time, and would start again what the worker
   // has forgotten: so it forgets under a higher token than any start was pushed under. Not while a push is on
   // its way, which would be refused; the next report tells again what it could forget.
-  const bool fence = m.launch_token == token(m);
-  if (!m.forgets.empty() && !(fence && m.pushing)) {
-    if (fence) ++m.bump;
+  const bool needs_fence = m.launch_token == current_token(m);
+  if (!m.forgets.empty() && !(needs_fence && m.pushing)) {
+    if (needs_fence) ++m.bump;
     for (const auto& f : m.forgets) {
-      if (out.size() >= kMaxOrders) break;
+      if (out.size() >= kMaxOrdersPerAnswer) break;
       out.push_back(f);
     }
   }
   m.forgets.clear();
-  if (launches && by_push) m.launch_token = token(m);
+  if (launches && by_push) m.launch_token = current_token(m);
   return out;
 }
 
-std::vector<ShareController::Push> ShareController::pushes(Micros now, std::size_t most,
-                                                           StartRefusal of_owner) {
-  std::vector<Push> out;
+std::vector<ShareController::OrderPush> ShareController::take_pushes(Micros now, std::size_t max_pushes,
+                                                                     StartRefusal owner_refusal) {
+  std::vector<OrderPush> out;
   if (!loaded_) return out;
-  for (auto it = view_.to_order.begin(); it != view_.to_order.end() && out.size() < most;) {
+  for (auto it = view_.to_order.begin(); it != view_.to_order.end() && out.size() < max_pushes;) {
     Machine& m = **it;
     bool wanted = (!m.accounted && now < m.lapse_at) || m.hearing.in_doubt();
     bool later = !m.accounted || m.hearing.in_doubt();
     for (const auto& [key, p] : m.tasks) {
       if (wanted) break;
-      wanted = p.phase == Phase::assigned || (p.halting && now - p.halt_sent >= kRepeatHalt);
+      wanted = p.phase == Phase::assigned || (p.halting && now - p.halt_sent >= kHaltRepeatInterval);
       later = later || p.halting;
     }
     it = wanted || later ? std::next(it) : view_.to_order.erase(it);
     if (!wanted || m.pushing || now < m.push_again || m.record.address.empty()) continue;
     if (m.accounted && !m.up) continue;
-    Push push{m.record.id, m.record.address, 0, m.session, {}};
+    OrderPush push{m.record.id, m.record.address, 0, m.session, {}};
     // To a machine that pushes don't reach, starts go with its reports: pushed first and fenced each time, a
     // task would never start where only workers can reach nodes (tests/node_test.cpp). Such a push asks
     // whether they reach it again, and repeats halts.
-    const StartRefusal refusal = m.pushes_lost < kGivenUp ? of_owner : StartRefusal::pushes_lost;
+    const StartRefusal refusal = m.pushes_lost < kMaxLostPushes ? owner_refusal : StartRefusal::pushes_lost;
     if (m.accounted) push.orders = take_orders(m, true, 0, refusal, now);
-    push.token = token(m);  // the orders may take a higher one
+    push.token = current_token(m);  // the orders may take a higher one
     m.pushing = true;
     out.push_back(std::move(push));
   }
@@ -115,19 +115,20 @@
   if (it == view_.machines.end()) return;
   Machine& m = it->second;
   m.pushing = false;
-  const int lost = std::exchange(m.pushes_lost, status == 200 || status == 409 ? 0 : m.pushes_lost + 1);
+  const int lost_before =
+      std::exchange(m.pushes_lost, status == 200 || status == 409 ? 0 : m.pushes_lost + 1);
   if ((status == 200 || status == 409) && report) {
     for (auto p = m.tasks.begin(); p != m.tasks.end();) {
-      auto here = p++;
-      Placed& x = here->second;
-      if (x.phase != Phase::sent || !x.by_push || x.fence != 0) continue;
+      auto current = p++;
+      Placed& placed = current->second;
+      if (placed.phase != Phase::sent || !placed.by_push || placed.fence != 0) continue;
       if (status == 409)
-        view_.drop(m, here, now, Freed::push_refused);  // nothing was executed
+        view_.drop(m, current, now, Freed::push_refused);  // nothing was executed
       else
-        x.by_push = false, x.answer_seq = 0;  // executed: the next newer report shows it
+        placed.by_push = false, placed.answer_seq = 0;  // executed: the next newer report shows it
     }
     if (m.hearing.shown(report->token, 0)) view_.gained(m);
-    apply(m, *report, false, now);
+    apply_report(m, *report, false, now);
     if (status == 409) m.push_again = m.accounted ? now + kSecond / 2 : now;
     return;
   }
@@ -135,14 +136,14 @@
   // A higher token fences them; until a report shows that the worker has seen it, those tasks count as being
   // there.
   // Where pushes never arrive, reports have shown after the first whether answers do.
-  if (lost == 0)
-    doubt(m, now, "a push was not answered");
+  if (lost_before == 0)
+    doubt_delivery(m, now, "a push was not answered");
   else
     ++m.bump;
-  const Micros longest = std::max(kPushAgain, kLongestPause * platform_.report);
-  m.push_again = now + std::min(longest, kPushAgain << std::min(lost, kMostDoubled));
+  const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report);
+  m.push_again = now + std::min(longest, kPushRetryDelay << std::min(lost_before, kMaxPushRetryDoublings));
   for (auto& [key, p] : m.tasks)
-    if (p.phase == Phase::sent && p.by_push) p.fence = token(m);
+    if (p.phase == Phase::sent && p.by_push) p.fence = current_token(m);
 }
 
 }  // namespace aspenwick::share
--- a/src/share/share_controller_records.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -8,9 +8,9 @@
 
 namespace aspenwick::share {
 
-void ShareController::merge_row(Job& j, std::uint32_t row, const std::string& text) {
-  if (row >= kUnitRows) {
-    j.recorded.merge_unit(row - kUnitRows, text);
+void ShareController::merge_recorded_row(Job& j, std::uint32_t row, const std::string& text) {
+  if (row >= kFirstUnitRow) {
+    j.recorded.merge_unit(row - kFirstUnitRow, text);
   } else {
     j.recorded.merge_chunk(row, text);
     j.recorded_whole.merge_chunk(row, text);
@@ -23,74 +23,76 @@
   if (it == view_.jobs.end()) {
     // Its record may be on its way to us, or it waits for others by records that lag: the row is read only
     // now.
-    const JobRecord* record = lookup_(job);
-    if (!record || !record->final()) rows_before_jobs_[job][row] = {text, version};
+    const JobRecord* record = lookup_job_(job);
+    if (!record || !record->final()) rows_of_unplanned_jobs_[job][row] = {text, version};
     return;
   }
   Job& j = *it->second;
-  if (row >= kUnitRows ? row - kUnitRows >= j.done.chunks() * DoneSet::kUnitsInChunk : row >= j.done.chunks())
+  if (row >= kFirstUnitRow ? row - kFirstUnitRow >= j.done.chunks() * DoneSet::kUnitsInChunk
+                           : row >= j.done.chunks())
     return;
-  row >= kUnitRows ? j.done.merge_unit(row - kUnitRows, text) : j.done.merge_chunk(row, text);
-  merge_row(j, row, text);
+  row >= kFirstUnitRow ? j.done.merge_unit(row - kFirstUnitRow, text) : j.done.merge_chunk(row, text);
+  merge_recorded_row(j, row, text);
   j.row_versions[row] = version;
-  gang_done(j);
+  complete_gang(j);
 }
 
 /// Rows that hold up a machine come first: one that is about to be taken takes its results with it, one that
 /// is empty is paid for until they are recorded. Then most unrecorded results first: in the order of names
 /// some jobs would never have their turn.
-std::vector<ShareController::DoneWrite> ShareController::done_writes(std::size_t most, Micros now) {
+std::vector<ShareController::DoneWrite> ShareController::take_done_writes(std::size_t max_writes,
+                                                                          Micros now) {
   std::vector<DoneWrite> out;
-  if (most == 0) return out;
-  std::vector<std::pair<Job*, Urgency*>> dirty;
+  if (max_writes == 0) return out;
+  std::vector<std::pair<Job*, WriteUrgency*>> dirty;
   for (auto& [id, j] : view_.jobs)
     if (!j->cancelled && !j->finished && !j->committing && !j->done.all() && !j->dirty.empty())
       dirty.emplace_back(j.get(), nullptr);
   if (dirty.empty()) return out;
-  auto urgency = urgent_results(now);
+  auto urgency = write_urgency_by_job(now);
   for (auto& [j, urgent] : dirty) {
     urgent = &urgency[j->id];
-    urgent->unrecorded = j->done.count() - j->recorded.count();
+    urgent->unrecorded_results = j->done.count() - j->recorded.count();
   }
   std::sort(dirty.begin(), dirty.end(), [](const auto& a, const auto& b) {
-    const Urgency &x = *a.second, &y = *b.second;
-    return std::tie(x.machines_taken, x.machines_waiting, x.unrecorded) >
-           std::tie(y.machines_taken, y.machines_waiting, y.unrecorded);
+    const WriteUrgency &x = *a.second, &y = *b.second;
+    return std::tie(x.machines_being_reclaimed, x.machines_to_release, x.unrecorded_results) >
+           std::tie(y.machines_being_reclaimed, y.machines_to_release, y.unrecorded_results);
   });
   for (const auto& [j, urgent] : dirty) {
-    if (out.size() >= most) break;
+    if (out.size() >= max_writes) break;
     auto units = std::vector<std::uint32_t>(urgent->units.begin(), urgent->units.end());
     units.insert(units.end(), j->dirty.begin(), j->dirty.end());
     for (const std::uint32_t unit : units)
-      if (out.size() < most && j->dirty.contains(unit)) write_row_of(*j, unit, out);
+      if (out.size() < max_writes && j->dirty.contains(unit)) append_row_write(*j, unit, out);
   }
   return out;
 }
 
 /// The row that holds the unit, unless a write of it is under way.
-void ShareController::write_row_of(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out) {
+void ShareController::append_row_write(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out) {
   // A whole chunk while its text fits a value, as all versions read it; after that unit by unit, and the
   // chunk's row stays as it is: shortened, it would lose what it alone holds.
   const std::uint32_t chunk = unit / DoneSet::kUnitsInChunk;
   std::string text = j.done.chunk_text(chunk);
-  const bool whole = text.size() + 2 <= platform_.value_room();
-  const std::uint32_t row = whole ? chunk : kUnitRows + unit;
+  const bool as_chunk = text.size() + 2 <= platform_.value_room();
+  const std::uint32_t row = as_chunk ? chunk : kFirstUnitRow + unit;
   if (j.in_flight.contains(row)) return;
-  if (!whole) text = j.done.unit_text(unit);
+  if (!as_chunk) text = j.done.unit_text(unit);
   out.push_back({j.id, row, std::move(text), j.row_versions[row]});
   j.in_flight.insert(row);
-  const std::uint32_t first = whole ? chunk * DoneSet::kUnitsInChunk : unit;
-  const std::uint32_t end = whole ? (chunk + 1) * DoneSet::kUnitsInChunk : unit + 1;
+  const std::uint32_t first = as_chunk ? chunk * DoneSet::kUnitsInChunk : unit;
+  const std::uint32_t end = as_chunk ? (chunk + 1) * DoneSet::kUnitsInChunk : unit + 1;
   j.dirty.erase(j.dirty.lower_bound(first), j.dirty.lower_bound(end));
 }
 
-bool ShareController::surely_recorded(const Job& j, std::uint32_t index) const {
-  return j.recorded_whole.test(index) || (all_read_units_ && j.recorded.test(index));
+bool ShareController::durably_recorded(const Job& j, std::uint32_t index) const {
+  return j.recorded_whole.test(index) || (all_controllers_read_units_ && j.recorded.test(index));
 }
 
 std::string ShareController::row_name(std::uint32_t row) {
-  std::string name = row >= kUnitRows ? "u/" : "";
-  return name += std::to_string(row >= kUnitRows ? row - kUnitRows : row);
+  std::string name = row >= kFirstUnitRow ? "u/" : "";
+  return name += std::to_string(row >= kFirstUnitRow ? row - kFirstUnitRow : row);
 }
 
 std::optional<std::pair<std::string, std::uint32_t>> ShareController::parse_row_name(
@@ -100,27 +102,27 @@
   if (slash == std::string::npos) return {};
   const char* end = name.data() + name.size();
   if (auto [p, ec] = std::from_chars(name.data() + slash + 1, end, n);
-      ec != std::errc{} || p != end || n >= kUnitRows)
+      ec != std::errc{} || p != end || n >= kFirstUnitRow)
     return {};
   if (!name.substr(0, slash).ends_with("/u")) return std::pair{name.substr(0, slash), n};
-  return std::pair{name.substr(0, slash - 2), n + kUnitRows};
+  return std::pair{name.substr(0, slash - 2), n + kFirstUnitRow};
 }
 
-void ShareController::done_written(const DoneWrite& w, bool ok, std::uint64_t version) {
+void ShareController::on_done_write_result(const DoneWrite& w, bool ok, std::uint64_t version) {
   auto it = view_.jobs.find(w.job);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
   j.in_flight.erase(w.row);
   j.row_versions[w.row] = version;
-  if (ok) return merge_row(j, w.row, w.text);
-  if (w.row >= kUnitRows) j.dirty.insert(w.row - kUnitRows);
-  for (std::uint32_t u = 0; w.row < kUnitRows && u < DoneSet::kUnitsInChunk; ++u) {
+  if (ok) return merge_recorded_row(j, w.row, w.text);
+  if (w.row >= kFirstUnitRow) j.dirty.insert(w.row - kFirstUnitRow);
+  for (std::uint32_t u = 0; w.row < kFirstUnitRow && u < DoneSet::kUnitsInChunk; ++u) {
     const std::uint32_t unit = w.row * DoneSet::kUnitsInChunk + u;
     if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty.insert(unit);
   }
 }
 
-std::vector<std::string> ShareController::complete_jobs() const {
+std::vector<std::string> ShareController::jobs_to_commit() const {
   std::vector<std::string> out;
   for (const auto& [id, j] : view_.jobs)
     if (!j->cancelled && !j->finished && !j->committing && j->done.all() && j->in_flight.empty())
@@ -128,7 +130,7 @@
   return out;
 }
 
-std::vector<std::string> ShareController::done_keys(const std::string& job) const {
+std::vector<std::string> ShareController::done_row_keys(const std::string& job) const {
   std::vector<std::string> out;
   auto it = view_.jobs.find(job);
   if (it == view_.jobs.end()) return out;
--- a/src/share/share_controller_answers.cpp
+++ b/src/share/share_controller_queries.cpp
@@ -9,11 +9,12 @@
 using wire::Shape;
 
 namespace {
-constexpr std::size_t kMostDemands = 64;
-constexpr std::size_t kMostPassedOver = 8;  // more, of those that wait for too long
+constexpr std::size_t kMaxDemands = 64;
+constexpr std::size_t kMaxExtraStarvedDemands = 8;  // more, of those that wait for too long
 }  // namespace
 
-std::optional<std::pair<std::uint32_t, std::uint32_t>> ShareController::tally(const std::string& id) const {
+std::optional<std::pair<std::uint32_t, std::uint32_t>> ShareController::task_counts(
+    const std::string& id) const {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return {};
   std::uint32_t running = 0;
@@ -24,7 +25,7 @@
   return std::pair{it->second->done.count(), running};
 }
 
-std::size_t ShareController::waiting() const {
+std::size_t ShareController::waiting_tasks() const {
   std::size_t n = 0;
   for (const auto& [id, j] : view_.jobs)
     if (!j->cancelled && !j->finished) n += j->waiting();
@@ -34,7 +35,7 @@
 std::vector<Demand> ShareController::demands(Micros now) const {
   std::vector<Demand> out;
   for (Job* j : placement_.ordered_jobs(now)) {
-    if (out.size() >= kMostDemands && !(j->passed_over && out.size() < kMostDemands + kMostPassedOver))
+    if (out.size() >= kMaxDemands && !(j->passed_over && out.size() < kMaxDemands + kMaxExtraStarvedDemands))
       continue;
     std::int64_t waiting = j->waiting();
     const wire::Team* t = placement_.quota().team(j->spec->team);
@@ -48,20 +49,20 @@
     if (waiting <= 0 || now < j->not_before) continue;
     Demand d;
     d.need = j->spec->need;
-    d.types = 0;
+    d.type_mask = 0;
     for (std::size_t i = 0; i < types_.size() && i < 64; ++i)
-      if (j->kind->first.types[i]) d.types |= 1ULL << i;
+      if (j->kind->first.types[i]) d.type_mask |= 1ULL << i;
     if (j->spec->zone) {
       auto z = std::find(platform_.zones.begin(), platform_.zones.end(), *j->spec->zone);
       d.zone = static_cast<std::uint8_t>(z - platform_.zones.begin());
     }
     if (j->spec->spread || j->spec->one_zone) {
-      d.per_zone = j->spec->spread ? (j->spec->tasks + 1) / 2 : 0;
+      d.max_per_zone = j->spec->spread ? (j->spec->tasks + 1) / 2 : 0;
       for (std::size_t z = 0; z < platform_.zones.size() && z < 32; ++z) {
-        const int n = j->tasks_in(zones_[z]);
+        const int n = j->tasks_in(zone_ids_[z]);
         const bool closed =
-            j->spec->spread ? n >= static_cast<int>(d.per_zone) : !j->active.empty() && n == 0;
-        if (closed) d.closed_zones |= 1U << z;
+            j->spec->spread ? n >= static_cast<int>(d.max_per_zone) : !j->active.empty() && n == 0;
+        if (closed) d.closed_zone_mask |= 1U << z;
       }
     }
     d.rank = placement_.rank_now(*j, now);
@@ -71,20 +72,22 @@
     d.running = static_cast<std::uint32_t>(j->active.size());
     d.slack_ms = static_cast<std::uint32_t>(
         std::clamp<Micros>(placement_.slack(*j, now) / kMillisecond, 0, 3'600'000));
-    d.guess_ms = static_cast<std::uint32_t>(std::clamp(place::Placement::run_time(*j) * 1000, 0.0, 3.6e6));
+    d.estimated_run_ms =
+        static_cast<std::uint32_t>(std::clamp(place::Placement::run_time(*j) * 1000, 0.0, 3.6e6));
     d.one_zone = j->spec->one_zone;
-    d.plain_only = placement_.await_plain(*j, now);
-    d.passed_over = j->passed_over, d.any_room = j->any_room;
+    d.excludes_gpu_machines = placement_.await_plain(*j, now);
+    d.starved = j->passed_over, d.accepts_any_machine = j->any_room;
     // Jobs that are alike are told as one: with ninety services waiting the rest would not be heard of.
     if (d.shape == wire::Shape::service) {
       auto same = std::find_if(out.begin(), out.end(), [&](const Demand& o) {
-        return o.shape == d.shape && o.need == d.need && o.types == d.types && o.zone == d.zone &&
+        return o.shape == d.shape && o.need == d.need && o.type_mask == d.type_mask && o.zone == d.zone &&
                o.rank == d.rank && o.spot == d.spot && o.one_zone == d.one_zone &&
-               o.plain_only == d.plain_only && o.passed_over == d.passed_over && o.any_room == d.any_room &&
-               o.closed_zones == d.closed_zones && (o.per_zone > 0) == (d.per_zone > 0) && !d.one_zone;
+               o.excludes_gpu_machines == d.excludes_gpu_machines && o.starved == d.starved &&
+               o.accepts_any_machine == d.accepts_any_machine && o.closed_zone_mask == d.closed_zone_mask &&
+               (o.max_per_zone > 0) == (d.max_per_zone > 0) && !d.one_zone;
       });
       if (same != out.end()) {
-        same->waiting += d.waiting, same->running += d.running, same->per_zone += d.per_zone;
+        same->waiting += d.waiting, same->running += d.running, same->max_per_zone += d.max_per_zone;
         continue;
       }
     }
@@ -107,8 +110,8 @@
 std::vector<MachineState> ShareController::machine_states(Micros now) const {
   std::vector<MachineState> out;
   out.reserve(view_.all.size());
-  for (const Machine* at : view_.all) {
-    const Machine& m = *at;
+  for (const Machine* entry : view_.all) {
+    const Machine& m = *entry;
     MachineState s;
     s.id = m.record.id;
     s.free = m.free;
@@ -132,7 +135,7 @@
   return out;
 }
 
-std::vector<std::string> ShareController::describe() const {
+std::vector<std::string> ShareController::describe_attempts() const {
   std::vector<std::string> out;
   static constexpr const char* kPhases[] = {"assigned", "sent", "present", "running"};
   for (const auto& [id, m] : view_.machines)
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -15,58 +15,59 @@
 using wire::WorkerReport;
 
 namespace {
-constexpr int kMostInVain = 2;  // answers that did not arrive, where pushes may do
+constexpr int kMaxUnreceivedAnswers = 2;  // answers that did not arrive, where pushes may do
 }  // namespace
 
 /// A worker has one report in flight and drops answers to any other, and to those of earlier sessions. One
 /// that the answer to a push overtook is still waited for: its answer renews the lease, so it has to count,
 /// or the machine's tasks are started elsewhere while they still run there.
-ShareController::ReportOrder ShareController::order_of(const Machine& m, const WorkerReport& r) {
-  if (std::pair{r.session, r.seq} > std::pair{m.session, m.seq}) return ReportOrder::newest;
+ShareController::ReportFreshness ShareController::freshness_of(const Machine& m, const WorkerReport& r) {
+  if (std::pair{r.session, r.seq} > std::pair{m.session, m.seq}) return ReportFreshness::newest;
   const bool waited_for = r.session == m.session && r.seq > m.report_seq;
-  return waited_for ? ReportOrder::overtaken : ReportOrder::copy;
+  return waited_for ? ReportFreshness::overtaken : ReportFreshness::obsolete;
 }
 
-std::optional<ShareController::Answer> ShareController::on_report(const WorkerReport& r, Micros now,
-                                                                  StartRefusal of_owner) {
+std::optional<ShareController::ReportAnswer> ShareController::on_report(const WorkerReport& r, Micros now,
+                                                                        StartRefusal owner_refusal) {
   auto it = view_.machines.find(r.machine);
   if (it == view_.machines.end()) return {};
   Machine& m = it->second;
   // A worker that has seen a higher token has another owner: our answer would be dropped.
-  if (r.token > token(m)) return {};
+  if (r.token > current_token(m)) return {};
   // Late or repeated reports (held packets) must not undo newer ones. Nobody waits for the answer to a copy.
-  const ReportOrder order = order_of(m, r);
-  if (order == ReportOrder::copy) return Answer{token(m), {}};
-  if (order == ReportOrder::newest) {
-    if (m.hearing.shown(r.token, floor(m))) view_.gained(m);
-    apply(m, r, true, now);
+  const ReportFreshness freshness = freshness_of(m, r);
+  if (freshness == ReportFreshness::obsolete) return ReportAnswer{current_token(m), {}};
+  if (freshness == ReportFreshness::newest) {
+    if (m.hearing.shown(r.token, min_token(m))) view_.gained(m);
+    apply_report(m, r, true, now);
   }
   m.report_seq = r.seq;
   // Our answers don't reach it, nor do pushes: each further one would only put off the moment from which its
   // lease has surely lapsed, and what may be on it would hold up the share for as long as it reports.
-  const int enough = m.pushes_lost >= kGivenUp ? 1 : kMostInVain;
-  if (!m.accounted && m.hearing.in_vain() >= enough) return {};
+  const int max_unreceived = m.pushes_lost >= kMaxLostPushes ? 1 : kMaxUnreceivedAnswers;
+  if (!m.accounted && m.hearing.in_vain() >= max_unreceived) return {};
   m.hearing.answered();
   // Never sooner than before: a copy of an old report may come in the seconds in which the former owner, cut
   // off, still answers the worker itself.
-  m.lapse_at = std::max(m.lapse_at, surely_lapsed(now));
-  if (order == ReportOrder::overtaken) return Answer{token(m), {}};
-  auto orders = take_orders(m, false, r.seq, of_owner, now);
-  return Answer{token(m), std::move(orders)};  // the orders may take a higher token
+  m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
+  if (freshness == ReportFreshness::overtaken) return ReportAnswer{current_token(m), {}};
+  auto orders = take_orders(m, false, r.seq, owner_refusal, now);
+  return ReportAnswer{current_token(m), std::move(orders)};  // the orders may take a higher token
 }
 
-bool ShareController::apply(Machine& m, const WorkerReport& r, bool own_report, Micros now) {
+bool ShareController::apply_report(Machine& m, const WorkerReport& r, bool own_report, Micros now) {
   if (std::pair{r.session, r.seq} <= std::pair{m.session, m.seq}) return false;
   if (r.session > m.session) {
-    const Micros answered = m.lapse_at - surely_lapsed(0);
-    const bool unheard = m.session != 0 && m.accounted && m.up && now - answered < platform_.worker_lease;
-    if (m.session != 0) lapse(m, now, Freed::new_session);
+    const Micros answered = m.lapse_at - latest_lease_end(0);
+    const bool answers_lost =
+        m.session != 0 && m.accounted && m.up && now - answered < platform_.worker_lease;
+    if (m.session != 0) drop_all_attempts(m, now, Freed::new_session);
     // A session's lease runs from its beginning, with no report answered: seen through a push, it may have
     // begun just now, and what we start in it lives that long. Before a machine is accounted for we start
     // nothing, and its former owner knew no session that began after it.
-    if (m.accounted) m.lapse_at = std::max(m.lapse_at, surely_lapsed(now));
+    if (m.accounted) m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
     // A session ends when no answer arrives for a lease, and by our book some did.
-    if (unheard) doubt(m, now, "its session ended between our answers");
+    if (answers_lost) doubt_delivery(m, now, "its session ended between our answers");
     m.report_seq = 0;
   }
   m.session = r.session;
@@ -85,8 +86,8 @@
   std::set<TaskKey> seen;
   for (const auto& t : r.tasks) {
     if (t.state == TaskState::exited) {
-      task_exited(m, t, now);
-      keep_or_forget(m, t, results_before, now);
+      on_task_exited(m, t, now);
+      retain_or_forget_result(m, t, results_before, now);
       continue;
     }
     TaskKey key{t.job, t.index};
@@ -99,14 +100,15 @@
     }
     seen.insert(key);
     if (p == m.tasks.end()) {
-      adopt(m, t, now);
+      add_reported_attempt(m, t, now);
       continue;
     }
     if (p->second.attempt != t.attempt) continue;
     p->second.fence = 0;
     if (t.state == TaskState::running && p->second.run_since == 0) {
       p->second.run_since = now;
-      if (p->second.job && p->second.phase != Phase::running) waits_.push_back(now - p->second.job->ready);
+      if (p->second.job && p->second.phase != Phase::running)
+        start_waits_.push_back(now - p->second.job->ready);
     }
     if (t.state != TaskState::fetching && p->second.phase != Phase::running && p->second.job)
       m.used_image(*p->second.job->spec);
@@ -116,40 +118,41 @@
     if (Job* j = p->second.job; j && j->incomplete == t.attempt && !p->second.fetching)
       view_.halt(p->second, 0);  // it has the image now, see ClusterView::end_attempt
   }
-  bool unheard = false;
+  bool answers_lost = false;
   for (auto p = m.tasks.begin(); p != m.tasks.end();) {
-    auto here = p++;
-    const Placed& x = here->second;
-    if (seen.contains(here->first) || x.phase == Phase::assigned) continue;
+    auto current = p++;
+    const Placed& placed = current->second;
+    if (seen.contains(current->first) || placed.phase == Phase::assigned) continue;
     bool gone = true;
-    if (x.phase == Phase::sent) {
+    if (placed.phase == Phase::sent) {
       // An order in an answer was carried out or dropped before the next report is sent; an order pushed may
       // still arrive, however late, until the worker has seen a higher token.
-      gone = x.by_push ? x.fence != 0 && r.token >= x.fence : own_report && r.seq > x.answer_seq;
-      unheard |= gone && !x.by_push && x.answer_seq != 0;
+      gone = placed.by_push ? placed.fence != 0 && r.token >= placed.fence
+                            : own_report && r.seq > placed.answer_seq;
+      answers_lost |= gone && !placed.by_push && placed.answer_seq != 0;
     }
-    if (gone) view_.drop(m, here, now, x.fence != 0 ? Freed::fenced : Freed::not_listed);
+    if (gone) view_.drop(m, current, now, placed.fence != 0 ? Freed::fenced : Freed::not_listed);
   }
-  if (unheard) doubt(m, now, "an answer did not arrive");
-  if (!m.accounted && r.token >= floor(m)) {
+  if (answers_lost) doubt_delivery(m, now, "an answer did not arrive");
+  if (!m.accounted && r.token >= min_token(m)) {
     m.accounted = true;
-    m.lapse_at = std::max(m.lapse_at, surely_lapsed(now));  // of this session, as above
+    m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));  // of this session, as above
     view_.gained(m);
-    check_rebuilt(now);
+    update_rebuilt(now);
   }
   return true;
 }
 
-void ShareController::task_exited(Machine& m, const TaskReport& t, Micros now) {
+void ShareController::on_task_exited(Machine& m, const TaskReport& t, Micros now) {
   auto p = m.tasks.find({t.job, t.index});
   auto it = view_.jobs.find(t.job);
   Job* j = it == view_.jobs.end() ? nullptr : it->second.get();
-  const bool ours = p != m.tasks.end() && p->second.attempt == t.attempt;
+  const bool tracked = p != m.tasks.end() && p->second.attempt == t.attempt;
   if (t.cause == Cause::done && j && t.index < j->spec->tasks) {
-    const bool news = set_done(*j, t.index);
-    if (ours && (news || j->spec->shape == Shape::gang)) task_done(*j, m, p->second, now);
+    const bool newly_done = mark_done(*j, t.index);
+    if (tracked && (newly_done || j->spec->shape == Shape::gang)) on_task_succeeded(*j, m, p->second, now);
     // With its last task a job that is over goes from the view, and `j` with it.
-    if (ours) view_.drop(m, p, now, Freed::done);
+    if (tracked) view_.drop(m, p, now, Freed::done);
     it = view_.jobs.find(t.job);
     if (it == view_.jobs.end()) return;
     // An attempt of it elsewhere has nothing left to do.
@@ -166,8 +169,8 @@
     view_.erase_if_over(t.job);
     return;
   }
-  if (ours) {
-    if (t.cause == Cause::error && j) task_failed(*j, m, now);
+  if (tracked) {
+    if (t.cause == Cause::error && j) on_task_failed(*j, m, now);
     if (t.cause == Cause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
     if (t.cause == Cause::gang_incomplete && j) j->incomplete = t.attempt;
     if (t.cause == Cause::unknown && j) j->not_before = now + 2 * kSecond;
@@ -178,24 +181,24 @@
 }
 
 /// true: that was not known yet.
-bool ShareController::set_done(Job& j, std::uint32_t index) {
+bool ShareController::mark_done(Job& j, std::uint32_t index) {
   if (!j.done.set(index)) return false;
   j.dirty.insert(index / DoneSet::kUnit);
   j.again.erase(index);
-  gang_done(j);
+  complete_gang(j);
   return true;
 }
 
 /// A gang completes together: where one task is done, all are. The others' machines may be gone before they
 /// tell it; started without the done one, the rest would wait for it, again and again, and the job never end.
-void ShareController::gang_done(Job& j) {
+void ShareController::complete_gang(Job& j) {
   if (j.spec->shape != Shape::gang || j.done.count() == 0) return;
   for (std::uint32_t i = 0; i < j.spec->tasks; ++i)
     if (j.done.set(i)) j.dirty.insert(i / DoneSet::kUnit);
   j.again.clear();
 }
 
-void ShareController::task_done(Job& j, Machine& m, const Placed& p, Micros now) {
+void ShareController::on_task_succeeded(Job& j, Machine& m, const Placed& p, Micros now) {
   m.error_jobs.clear();
   if (p.run_since == 0 || j.spec->shape == Shape::service) return;
   const double run = std::max(0.05, to_seconds(now - p.run_since));
@@ -208,7 +211,7 @@
                   placement_.rnn().threshold(), placement_.rnn().q(m.neuron));
 }
 
-void ShareController::task_failed(Job& j, Machine& m, Micros now) {
+void ShareController::on_task_failed(Job& j, Machine& m, Micros now) {
   ++j.errors;
   // Not for good: where it is the only machine with room, the job would wait there for ever.
   std::erase_if(j.bad_machines, [&](const auto& bad) { return bad.second <= now; });
@@ -230,7 +233,7 @@
   }
 }
 
-void ShareController::lapse(Machine& m, Micros now, Freed why) {
+void ShareController::drop_all_attempts(Machine& m, Micros now, Freed why) {
   if (!m.tasks.empty())
     spdlog::info("machine {}: {} tasks gone ({})", m.record.id, m.tasks.size(), place::to_string(why));
   while (!m.tasks.empty()) view_.drop(m, m.tasks.begin(), now, why);
@@ -240,14 +243,14 @@
 
 /// Its reports arrive, but what we send seems not to. Under a new token its reports will tell; until then
 /// nothing new is given to it, and what was not sent yet goes elsewhere.
-void ShareController::doubt(Machine& m, Micros now, const char* why) {
+void ShareController::doubt_delivery(Machine& m, Micros now, const char* why) {
   ++m.bump;
   if (!m.hearing.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
-  m.hearing.doubt(token(m), now);
+  m.hearing.doubt(current_token(m), now);
   view_.to_order.insert(&m);  // to be asked at once
   for (auto it = m.tasks.begin(); it != m.tasks.end();) {
-    auto here = it++;
-    if (here->second.phase == Phase::assigned) view_.drop(m, here, now, Freed::never_sent);
+    auto current = it++;
+    if (current->second.phase == Phase::assigned) view_.drop(m, current, now, Freed::never_sent);
   }
 }
 
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -13,13 +13,13 @@
 
 /// No row is known to hold the result, nor is its job known to be over. Another share's owner decides what is
 /// recorded of its jobs; we only know which of its rows we have read.
-bool ShareController::result_needed(const TaskKey& task, Micros since) const {
+bool ShareController::result_copy_needed(const TaskKey& task, Micros since) const {
   const auto& [id, index] = task;
   if (auto it = view_.jobs.find(id); it != view_.jobs.end()) {
     const Job& j = *it->second;
-    return index < j.spec->tasks && !j.finished && !j.cancelled && !surely_recorded(j, index);
+    return index < j.spec->tasks && !j.finished && !j.cancelled && !durably_recorded(j, index);
   }
-  const JobRecord* record = lookup_(id);
+  const JobRecord* record = lookup_job_(id);
   if (record && record->final()) return false;
   // A job that was accepted before its result was reported has a record by then.
   if (!record) return records_as_of_ <= since;
@@ -27,25 +27,25 @@
   return recorded == recorded_by_others_.end() || !recorded->second.test(index);
 }
 
-bool ShareController::holds_needed_result(const Machine& m) const {
+bool ShareController::holds_needed_result_copy(const Machine& m) const {
   return std::any_of(m.results.begin(), m.results.end(),
-                     [&](const auto& r) { return result_needed(r.first, r.second.since); });
+                     [&](const auto& r) { return result_copy_needed(r.first, r.second.since); });
 }
 
 /// What an exited attempt leaves at its worker: a result that may be recorded nowhere is kept, all else is
 /// forgotten.
-void ShareController::keep_or_forget(Machine& m, const TaskReport& t,
-                                     const std::map<TaskKey, HeldResult>& before, Micros now) {
+void ShareController::retain_or_forget_result(Machine& m, const TaskReport& t,
+                                              const std::map<TaskKey, HeldResult>& before, Micros now) {
   const TaskKey key{t.job, t.index};
   const auto known = before.find(key);
   const Micros since = known == before.end() ? now : known->second.since;
-  if (t.cause == Cause::done && result_needed(key, since)) {
+  if (t.cause == Cause::done && result_copy_needed(key, since)) {
     m.results[key] = {t.attempt, since};
     return;
   }
-  if (t.cause == Cause::done && !view_.jobs.contains(t.job) && lookup_(t.job) == nullptr) {
+  if (t.cause == Cause::done && !view_.jobs.contains(t.job) && lookup_job_(t.job) == nullptr) {
     spdlog::info("machine {}: the result of {}/{} is forgotten: no such job", m.record.id, t.job, t.index);
-    ++attribution_.dropped_results;
+    ++attribution_counts_.dropped_results;
   }
   m.forgets.push_back({Order::Verb::forget, t.job, t.index, t.attempt, 0});
 }
@@ -59,21 +59,22 @@
   if (m.leaving) return ReleaseRefusal::leaving;
   // Its next owner, or nobody, would have the only copies: if we end before we have recorded them, the tasks
   // would run again.
-  if (holds_needed_result(m)) return ReleaseRefusal::results_not_recorded;
+  if (holds_needed_result_copy(m)) return ReleaseRefusal::results_not_recorded;
   return ReleaseRefusal::none;
 }
 
-std::set<std::pair<std::string, std::uint32_t>> ShareController::chunks_of_others() const {
+std::set<std::pair<std::string, std::uint32_t>> ShareController::needed_chunks_of_other_shares() const {
   std::set<std::pair<std::string, std::uint32_t>> chunks;
   for (const Machine* m : view_.all)
     for (const auto& [task, result] : m->results)
-      if (!view_.jobs.contains(task.first) && result_needed(task, result.since))
+      if (!view_.jobs.contains(task.first) && result_copy_needed(task, result.since))
         chunks.emplace(task.first, task.second / DoneSet::kChunk);
   return chunks;
 }
 
-void ShareController::chunk_of_other(const std::string& job, std::uint32_t chunk, const std::string& text) {
-  const auto chunks = chunks_of_others();
+void ShareController::on_chunk_of_other_share(const std::string& job, std::uint32_t chunk,
+                                              const std::string& text) {
+  const auto chunks = needed_chunks_of_other_shares();
   // Kept for results that still need it; what else was read goes.
   std::erase_if(recorded_by_others_, [&](const auto& known) {
     return std::none_of(view_.all.begin(), view_.all.end(), [&](const Machine* m) {
@@ -81,14 +82,14 @@
       return r != m->results.end() && r->first.first == known.first;
     });
   });
-  const JobRecord* record = lookup_(job);
+  const JobRecord* record = lookup_job_(job);
   if (!chunks.contains({job, chunk}) || !record || !record->spec) return;
   recorded_by_others_.try_emplace(job, record->spec->tasks).first->second.merge_chunk(chunk, text);
 }
 
 /// Measures how long empty machines wait for their results to be recorded.
-void ShareController::note_result_wait(Machine& m, Micros now) {
-  const bool waits = m.tasks.empty() && !m.results.empty() && holds_needed_result(m);
+void ShareController::measure_result_wait(Machine& m, Micros now) {
+  const bool waits = m.tasks.empty() && !m.results.empty() && holds_needed_result_copy(m);
   if (waits && m.results_wait_since == 0) m.results_wait_since = now;
   if (waits || m.results_wait_since == 0) return;
   result_waits_.push_back(now - m.results_wait_since);
@@ -100,9 +101,9 @@
   for (const Machine* m : view_.all) {
     const std::size_t before = held.results;
     for (const auto& [task, result] : m->results) {
-      if (!result_needed(task, result.since)) continue;
+      if (!result_copy_needed(task, result.since)) continue;
       ++held.results;
-      held.oldest = std::max(held.oldest, now - result.since);
+      held.oldest_age = std::max(held.oldest_age, now - result.since);
     }
     if (held.results > before) ++held.machines;
   }
@@ -110,18 +111,18 @@
 }
 
 /// By job, of results on machines that are to leave or may be wanted elsewhere.
-std::map<std::string, ShareController::Urgency> ShareController::urgent_results(Micros now) const {
-  std::map<std::string, Urgency> urgent;
+std::map<std::string, ShareController::WriteUrgency> ShareController::write_urgency_by_job(Micros now) const {
+  std::map<std::string, WriteUrgency> urgent;
   for (const Machine* m : view_.all) {
     if (m->results.empty()) continue;
     const bool waits = m->tasks.empty() || m->drain_until > now;
     if (!waits && !m->taken_at) continue;
     std::set<std::string> counted;
     for (const auto& [task, result] : m->results) {
-      Urgency& u = urgent[task.first];
+      WriteUrgency& u = urgent[task.first];
       u.units.insert(task.second / DoneSet::kUnit);
       if (!counted.insert(task.first).second) continue;
-      ++(m->taken_at ? u.machines_taken : u.machines_waiting);
+      ++(m->taken_at ? u.machines_being_reclaimed : u.machines_to_release);
     }
   }
   return urgent;
--- a/tests/attribution_test.cpp
+++ b/tests/attribution_test.cpp
@@ -21,30 +21,31 @@
   EXPECT_FALSE(told_empty("i-1"));
   EXPECT_FALSE(told_usable("i-1"));
   EXPECT_FALSE(owner.release("i-1", now));
-  EXPECT_EQ(owner.attribution().open_attempts, 1U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_attempts, 1U);
   record("j-2", 8);
-  owner.job_known("j-2", records["j-2"], true, now, now);  // accepted since: it may start where there is room
+  owner.on_job_record("j-2", records["j-2"], true, now,
+                      now);  // accepted since: it may start where there is room
   place();
-  EXPECT_EQ(owner.describe(), (Lines{"i-1 j-1/0 running", "i-2 j-2/0 assigned", "i-2 j-2/1 assigned",
-                                     "i-2 j-2/2 assigned", "i-2 j-2/3 assigned"}));
+  EXPECT_EQ(owner.describe_attempts(), (Lines{"i-1 j-1/0 running", "i-2 j-2/0 assigned", "i-2 j-2/1 assigned",
+                                              "i-2 j-2/2 assigned", "i-2 j-2/3 assigned"}));
   accept("j-1", 1);
-  EXPECT_EQ(owner.tally("j-1")->second, 1U);
+  EXPECT_EQ(owner.task_counts("j-1")->second, 1U);
   EXPECT_TRUE(told_usable("i-1"));
-  EXPECT_EQ(owner.attribution().open_attempts, 0U);
-  EXPECT_EQ(owner.attribution().attributed_attempts, 1U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_attempts, 0U);
+  EXPECT_EQ(owner.attribution_counts().attributed_attempts, 1U);
 }
 
 TEST_F(AttributionTest, ADoneTaskOfAnUnknownJobIsNotFreeOnceItsRecordComes) {
   report("i-1", {done("j-1", 0)});
   report("i-2", {});
-  EXPECT_EQ(owner.attribution().open_results, 1U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_results, 1U);
   EXPECT_FALSE(owner.release("i-1", now));
   accept("j-1", 2);
   place();
-  EXPECT_EQ(owner.tally("j-1")->first, 1U);
-  EXPECT_EQ(owner.describe().size(), 1U);  // task 1
-  EXPECT_EQ(owner.attribution().attributed_results, 1U);
-  EXPECT_EQ(owner.done_writes(10, now).size(), 1U);  // and it is recorded
+  EXPECT_EQ(owner.task_counts("j-1")->first, 1U);
+  EXPECT_EQ(owner.describe_attempts().size(), 1U);  // task 1
+  EXPECT_EQ(owner.attribution_counts().attributed_results, 1U);
+  EXPECT_EQ(owner.take_done_writes(10, now).size(), 1U);  // and it is recorded
 }
 
 // A successor reads the rows of its share while the record of a job is still on its way to it.
@@ -58,11 +59,11 @@
   report("i-2", {});
   accept("j-1", 3);
   place();
-  EXPECT_EQ(owner.tally("j-1")->first, 2U);
-  EXPECT_EQ(owner.describe().size(), 1U);  // task 2
+  EXPECT_EQ(owner.task_counts("j-1")->first, 2U);
+  EXPECT_EQ(owner.describe_attempts().size(), 1U);  // task 2
   report("i-1", {done("j-1", 2)});
-  EXPECT_EQ(owner.complete_jobs().size(), 1U);
-  EXPECT_EQ(owner.done_keys("j-1"), (std::vector<std::string>{"j-1/0"}));
+  EXPECT_EQ(owner.jobs_to_commit().size(), 1U);
+  EXPECT_EQ(owner.done_row_keys("j-1"), (std::vector<std::string>{"j-1/0"}));
 }
 
 // The answers to pushes are reports too.
@@ -76,7 +77,7 @@
   owner.pushed("i-1", 409, &answer, now);
   accept("j-1", 2);
   place();
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 running"});
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
 }
 
 // A job that waits for others has a record and is told to the owner only when it is ready.
@@ -85,11 +86,11 @@
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-1", 1)}).empty());
   report("i-2", {});
   place();
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 running"});
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   tell("j-1");
   place();
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 running"});
-  EXPECT_EQ(owner.tally("j-1")->first, 1U);
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
+  EXPECT_EQ(owner.task_counts("j-1")->first, 1U);
 }
 
 TEST_F(AttributionTest, ItsTeamsLimitHoldsWhileAnAttemptIsNotAttributed) {
@@ -99,12 +100,12 @@
   tell("j-2");
   place();
   EXPECT_FALSE(owner.rebuilt());
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 running"});
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   record("j-1", 1, "array", "tight");
   tell("j-1");
   place();
   EXPECT_TRUE(owner.rebuilt());
-  EXPECT_EQ(owner.describe().size(), 4U);  // of 2 CPUs each, 8 in all
+  EXPECT_EQ(owner.describe_attempts().size(), 4U);  // of 2 CPUs each, 8 in all
 }
 
 // A job accepted through another node a moment before has a record that we may not have read.
@@ -115,16 +116,16 @@
   owner.records_read(reported);
   now += kSecond;
   place();
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 running"});
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-2", 0)}).empty());
   EXPECT_FALSE(owner.rebuilt());
   owner.records_read(reported + 1);
   place();
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 halting"});
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 halting"});
   EXPECT_TRUE(owner.rebuilt());
   EXPECT_EQ(report("i-1", {running("j-1", 0), done("j-2", 0)}), (std::set<place::TaskKey>{{"j-2", 0}}));
-  EXPECT_EQ(owner.attribution().dropped_attempts, 1U);
-  EXPECT_EQ(owner.attribution().dropped_results, 1U);
+  EXPECT_EQ(owner.attribution_counts().dropped_attempts, 1U);
+  EXPECT_EQ(owner.attribution_counts().dropped_results, 1U);
 }
 
 // Not whole yet, or a row that can't be read: there is such a job all the same.
@@ -134,7 +135,7 @@
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-1", 1)}).empty());
   owner.records_read(now + 1);
   place();
-  EXPECT_EQ(owner.describe(), Lines{"i-1 j-1/0 running"});
+  EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-1", 1)}).empty());
   EXPECT_TRUE(owner.rebuilt());  // it holds its machine, not the share
   EXPECT_FALSE(owner.release("i-1", now));
@@ -147,8 +148,8 @@
   record("j-2", 1);
   records["j-2"].status = wire::JobStatus::cancelled;
   place();
-  EXPECT_EQ(owner.describe(), (Lines{"i-1 j-1/0 halting", "i-2 j-2/0 halting"}));
-  EXPECT_EQ(owner.attribution().open_attempts, 0U);
+  EXPECT_EQ(owner.describe_attempts(), (Lines{"i-1 j-1/0 halting", "i-2 j-2/0 halting"}));
+  EXPECT_EQ(owner.attribution_counts().unattributed_attempts, 0U);
 }
 
 TEST_F(AttributionTest, ATaskThatTheJobDoesNotHaveIsStopped) {
@@ -156,19 +157,19 @@
   report("i-2", {});
   accept("j-1", 1);
   place();
-  EXPECT_EQ(owner.tally("j-1")->first, 0U);
-  EXPECT_EQ(owner.describe(), (Lines{"i-1 j-1/0 assigned", "i-1 j-1/5 halting"}));
+  EXPECT_EQ(owner.task_counts("j-1")->first, 0U);
+  EXPECT_EQ(owner.describe_attempts(), (Lines{"i-1 j-1/0 assigned", "i-1 j-1/5 halting"}));
 }
 
 TEST_F(AttributionTest, TheAccountHoldsNoMoreThanTheNewestReportLists) {
   report("i-1", {running("j-1", 0), done("j-1", 1), running("j-2", 99'999)});
-  EXPECT_EQ(owner.attribution().open_attempts, 2U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_attempts, 2U);
   report("i-1", {running("j-3", 0)});
-  EXPECT_EQ(owner.attribution().open_attempts, 1U);
-  EXPECT_EQ(owner.attribution().open_results, 0U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_attempts, 1U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_results, 0U);
   ++session, seq = 0;
   report("i-1", {});
-  EXPECT_EQ(owner.attribution().open_attempts, 0U);
+  EXPECT_EQ(owner.attribution_counts().unattributed_attempts, 0U);
   EXPECT_TRUE(owner.release("i-1", now));
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -120,8 +120,8 @@
     auto h = std::make_unique<share::ShareController>(
         platform_, types_, share::ShareControllerSettings{}, [this](const std::string&) { return &record_; },
         5, 0, 0);
-    h->job_known("j-000412", record_, false, 0, 0);
-    h->machine_known({"i-1", "127.0.0.1:9", "cpu8", "z1"}, true, 0);
+    h->on_job_record("j-000412", record_, false, 0, 0);
+    h->on_machine_record({"i-1", "127.0.0.1:9", "cpu8", "z1"}, true, 0);
     return h;
   }
   /// The machine says that these tasks are done; how many of them it may forget.
@@ -133,8 +133,8 @@
     return h.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
   }
   static std::vector<share::ShareController::DoneWrite> write(share::ShareController& h) {
-    auto writes = h.done_writes(100);
-    for (const auto& w : writes) h.done_written(w, true, 3);
+    auto writes = h.take_done_writes(100);
+    for (const auto& w : writes) h.on_done_write_result(w, true, 3);
     return writes;
   }
 
@@ -146,7 +146,7 @@
 
 TEST_F(ManyTasks, AChunkThatOutgrowsItsValueIsKeptUnitByUnit) {
   auto h = holder();
-  h->loaded(0);
+  h->finish_loading(0);
   forgets(*h, 0, 300);
   auto first = write(*h);
   ASSERT_EQ(first.size(), 1U);
@@ -162,30 +162,30 @@
   EXPECT_EQ(names, (std::vector<std::string>{"u/3", "u/4"}));
   // An older version could take over, and reads no units: the workers keep those results.
   EXPECT_EQ(forgets(*h, 7900, 8300), 0U);
-  h->set_all_read_units(true);
+  h->set_all_controllers_read_units(true);
   EXPECT_EQ(forgets(*h, 7900, 8300), 300U);  // as many as one answer takes
   // A successor finds all of them.
   auto successor = holder();
   for (const auto& w : {first[0], rest[0], rest[1]}) successor->load_done("j-000412", w.row, w.text, 3);
-  EXPECT_EQ(successor->tally("j-000412")->first, 700U);
+  EXPECT_EQ(successor->task_counts("j-000412")->first, 700U);
 }
 
 TEST_F(ManyTasks, AnOlderVersionsLongRowIsNeverShortened) {
   auto h = holder();
   h->load_done("j-000412", 0, std::string(4000, 'f'), 9);
-  h->loaded(0);
+  h->finish_loading(0);
   EXPECT_EQ(forgets(*h, 0, 10), 10U);
   forgets(*h, 16'100, 16'200);
   const auto writes = write(*h);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(share::ShareController::row_name(writes[0].row), "u/7");
-  EXPECT_EQ(h->done_keys("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
+  EXPECT_EQ(h->done_row_keys("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
 }
 
 TEST(Compatibility, RowsOfUnitsAreNoRowsToAnOlderVersion) {
   EXPECT_EQ(share::ShareController::parse_row_name("j-1/5"),
             (std::pair<std::string, std::uint32_t>{"j-1", 5}));
-  const std::uint32_t unit = share::ShareController::kUnitRows + 5;
+  const std::uint32_t unit = share::ShareController::kFirstUnitRow + 5;
   EXPECT_EQ(share::ShareController::parse_row_name("j-1/u/5"),
             (std::pair<std::string, std::uint32_t>{"j-1", unit}));
   // It cuts at the last slash and looks the job up by what is before it.
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -14,8 +14,8 @@
   ShareSaid s;
   s.share = 2, s.rebuilt = true;
   Demand d;
-  d.need = {4'000'000, 0, 6'200'000}, d.types = 5, d.zone = 1, d.rank = wire::Rank::high, d.spot = true;
-  d.waiting = 7, d.closed_zones = 2, d.per_zone = 3, d.slack_ms = 900, d.guess_ms = 30'000;
+  d.need = {4'000'000, 0, 6'200'000}, d.type_mask = 5, d.zone = 1, d.rank = wire::Rank::high, d.spot = true;
+  d.waiting = 7, d.closed_zone_mask = 2, d.max_per_zone = 3, d.slack_ms = 900, d.estimated_run_ms = 30'000;
   s.demands = {d};
   MachineState m;
   m.id = "i-000001", m.free = {1, 2, 3}, m.empty = true, m.suspect = true, m.idle_ms = 12;
--- a/tests/held_results_test.cpp
+++ b/tests/held_results_test.cpp
@@ -16,34 +16,34 @@
   report("i-1", {done("j-1", 0)});
   owner.drain("i-1", 1, wire::Rank::low, now);
   EXPECT_FALSE(told_empty("i-1"));
-  EXPECT_TRUE(owner.drained().empty());
+  EXPECT_TRUE(owner.drained_machines().empty());
   EXPECT_FALSE(owner.release("i-1", now));
   EXPECT_EQ(refused_for_results(), 1U);
   EXPECT_EQ(owner.held_results(now + kSecond).results, 1U);
-  EXPECT_EQ(owner.held_results(now + kSecond).oldest, kSecond);
+  EXPECT_EQ(owner.held_results(now + kSecond).oldest_age, kSecond);
   // The answer of the commit is lost: executed or not, nothing is recorded as far as we know.
-  auto writes = owner.done_writes(10, now);
+  auto writes = owner.take_done_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_FALSE(owner.release("i-1", now));  // on its way
-  owner.done_written(writes[0], false, 5);
+  owner.on_done_write_result(writes[0], false, 5);
   EXPECT_FALSE(owner.release("i-1", now));
-  writes = owner.done_writes(10, now);
+  writes = owner.take_done_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(writes[0].version, 5U);
-  owner.done_written(writes[0], true, 6);
+  owner.on_done_write_result(writes[0], true, 6);
   EXPECT_TRUE(told_empty("i-1"));
-  EXPECT_EQ(owner.drained().size(), 1U);
+  EXPECT_EQ(owner.drained_machines().size(), 1U);
   EXPECT_TRUE(owner.release("i-1", now));
 }
 
 TEST_F(HeldResultsTest, TheLastResultOfAJobHoldsItsMachineUntilTheJobsRecordSaysDone) {
   accept("j-1", 1);
   EXPECT_TRUE(report("i-1", {done("j-1", 0)}).empty());
-  EXPECT_EQ(owner.complete_jobs().size(), 1U);
+  EXPECT_EQ(owner.jobs_to_commit().size(), 1U);
   owner.set_committing("j-1", true);
   EXPECT_FALSE(owner.release("i-1", now));
   records["j-1"].status = wire::JobStatus::done;
-  owner.job_known("j-1", records["j-1"], false, now, now);
+  owner.on_job_record("j-1", records["j-1"], false, now, now);
   EXPECT_TRUE(owner.release("i-1", now));
 }
 
@@ -53,15 +53,15 @@
   EXPECT_TRUE(report("i-1", {done("j-9", 0), done("j-9", 1)}).empty());
   EXPECT_FALSE(owner.release("i-1", now));
   const std::set<std::pair<std::string, std::uint32_t>> chunk{{"j-9", 0}};
-  EXPECT_EQ(owner.chunks_of_others(), chunk);
+  EXPECT_EQ(owner.needed_chunks_of_other_shares(), chunk);
   job::DoneSet recorded(5);
   recorded.set(1);
-  owner.chunk_of_other("j-9", 0, recorded.chunk_text(0));
+  owner.on_chunk_of_other_share("j-9", 0, recorded.chunk_text(0));
   EXPECT_EQ(report("i-1", {done("j-9", 0), done("j-9", 1)}), (std::set<place::TaskKey>{{"j-9", 1}}));
   EXPECT_FALSE(owner.release("i-1", now));
   EXPECT_TRUE(report("i-2", {done("j-9", 2)}).empty());
   records["j-9"].status = wire::JobStatus::cancelled;
-  EXPECT_TRUE(owner.chunks_of_others().empty());
+  EXPECT_TRUE(owner.needed_chunks_of_other_shares().empty());
   EXPECT_TRUE(owner.release("i-1", now));
   EXPECT_EQ(report("i-2", {done("j-9", 2)}), (std::set<place::TaskKey>{{"j-9", 2}}));
 }
@@ -72,7 +72,7 @@
   for (std::uint32_t i = 0; i < 50; ++i) tasks.push_back(done("j-1", i));
   report("i-1", tasks);
   auto next_row = [this] {
-    const auto writes = owner.done_writes(1, now);
+    const auto writes = owner.take_done_writes(1, now);
     return writes.empty() ? "" : writes[0].job;
   };
   report("i-2", {done("j-2", 0)});
@@ -92,7 +92,7 @@
   for (std::uint32_t i = 0; i < 50; ++i) tasks.push_back(done("j-1", i));
   report("i-1", tasks);
   report("i-2", {done("j-2", 0)});
-  const auto first = owner.done_writes(1, now);
+  const auto first = owner.take_done_writes(1, now);
   ASSERT_EQ(first.size(), 1U);
   EXPECT_EQ(first[0].job, "j-2");
 }
@@ -108,8 +108,8 @@
   now += 120 * kSecond;
   owner.tick(now, StartRefusal::records_stale);  // its lease has surely expired
   EXPECT_TRUE(owner.release("i-2", now));
-  ASSERT_EQ(owner.done_writes(10, now).size(), 1U);
-  EXPECT_EQ(owner.tally("j-1")->first, 2U);
+  ASSERT_EQ(owner.take_done_writes(10, now).size(), 1U);
+  EXPECT_EQ(owner.task_counts("j-1")->first, 2U);
 }
 
 TEST_F(HeldResultsTest, EachMachineOfAGangStaysUntilItsResultsAreRecorded) {
@@ -121,7 +121,7 @@
   EXPECT_FALSE(owner.release("i-1", now));
   EXPECT_FALSE(owner.release("i-2", now));
   records["j-1"].status = wire::JobStatus::done;
-  owner.job_known("j-1", records["j-1"], false, now, now);
+  owner.on_job_record("j-1", records["j-1"], false, now, now);
   EXPECT_TRUE(owner.release("i-1", now));
   EXPECT_TRUE(owner.release("i-2", now));
 }
@@ -136,7 +136,7 @@
   accept("j-1", 5);
   report("i-1", {done("j-1", 0)});
   owner.tick(now, StartRefusal::records_stale);
-  owner.done_written(owner.done_writes(1, now).at(0), true, 5);
+  owner.on_done_write_result(owner.take_done_writes(1, now).at(0), true, 5);
   now += 3 * kSecond;
   owner.tick(now, StartRefusal::records_stale);
   EXPECT_EQ(owner.take_result_waits(), std::vector<Micros>{3 * kSecond});
--- a/tests/long_pass_test.cpp
+++ b/tests/long_pass_test.cpp
@@ -21,9 +21,9 @@
   for (int i = 0; i < kMachines; ++i) {
     MachineRecord m;
     m.id = "i-" + std::to_string(100000 + i), m.address = "127.0.0.1:9", m.type = "cpu8", m.zone = "z1";
-    holder.machine_known(m, true, now);
+    holder.on_machine_record(m, true, now);
   }
-  holder.loaded(now);
+  holder.finish_loading(now);
   wire::WorkerReport r;
   r.address = "127.0.0.1:9", r.type = "cpu8", r.zone = "z1", r.session = 1, r.seq = 1;
   auto report_all = [&] {
@@ -42,21 +42,21 @@
   JobRecord record;
   record.spec = std::make_shared<JobSpec>(wire::job_from_json(j));
   jobs[record.spec->id] = record;
-  holder.job_known(record.spec->id, record, false, now, 0);
+  holder.on_job_record(record.spec->id, record, false, now, 0);
 
   std::set<std::size_t> steps;
   int passes = 1;
   std::size_t waiting = kTasks;
   while (holder.tick(now, place::StartRefusal::none)) {
     ASSERT_LT(++passes, 20);
-    steps.insert(waiting - holder.waiting());
-    waiting = holder.waiting();
+    steps.insert(waiting - holder.waiting_tasks());
+    waiting = holder.waiting_tasks();
     now += 15 * kMillisecond;
   }
   EXPECT_GT(passes, 2);
   EXPECT_EQ(steps.size(), 1U);  // all as long, but for the last
   EXPECT_LT(*steps.begin(), kTasks / 2);
-  EXPECT_EQ(holder.waiting(), 0U);
+  EXPECT_EQ(holder.waiting_tasks(), 0U);
   EXPECT_EQ(report_all(), static_cast<std::size_t>(kTasks));
   EXPECT_FALSE(holder.tick(now, place::StartRefusal::none));
 }
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -22,9 +22,9 @@
     for (const char* id : {"i-1", "i-2"}) {
       share::MachineRecord machine;
       machine.id = id, machine.address = "127.0.0.1:9", machine.type = "cpu8", machine.zone = "z1";
-      owner.machine_known(machine, false, now);
+      owner.on_machine_record(machine, false, now);
     }
-    owner.loaded(now);
+    owner.finish_loading(now);
   }
   /// Its record is there, and the owner has not been told.
   void record(const std::string& id, int tasks, const std::string& shape = "array",
@@ -34,7 +34,7 @@
     submission["owner"] = team;
     records[id].spec = std::make_shared<wire::JobSpec>(wire::job_from_json(submission));
   }
-  void tell(const std::string& id) { owner.job_known(id, records[id], false, now, now); }
+  void tell(const std::string& id) { owner.on_job_record(id, records[id], false, now, now); }
   void accept(const std::string& id, int tasks, const std::string& shape = "array") {
     record(id, tasks, shape);
     tell(id);
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -21,7 +21,7 @@
     share::Demand d;
     d.need = {wire::to_units(cpus), 0, wire::to_units(1)};
     d.waiting = waiting, d.spot = spot, d.rank = rank;
-    d.guess_ms = 30'000, d.slack_ms = 10'000;
+    d.estimated_run_ms = 30'000, d.slack_ms = 10'000;
     return d;
   }
   share::MachineState machine(const std::string& id, int share, Micros idle) {
@@ -149,7 +149,7 @@
   for (const auto& t : types_)
     for (const auto& z : t.zones)
       for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
-  d.types = 1;
+  d.type_mask = 1;
   const auto none = provisioner_.tick(now_, {idle, {1, true, {d}, {}}}, records_);
   EXPECT_TRUE(only<Move>(none).empty());
   d.waiting = 2;
@@ -162,7 +162,7 @@
   // Ninety services at a cold start, told as one demand: machines come by the dozen, half of the tasks a
   // zone.
   share::Demand d = demand(1, 96, false, wire::Rank::production);
-  d.shape = wire::Shape::service, d.per_zone = 48;
+  d.shape = wire::Shape::service, d.max_per_zone = 48;
   const auto rents = only<Rent>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_));
   ASSERT_EQ(rents.size(), 2U);
   EXPECT_NE(rents[0].zone, rents[1].zone);
@@ -215,7 +215,7 @@
 
 TEST_F(ProvisionerTest, SpotGpuMachinesStayForAWhileWhereGangsOnOrdinaryOnesCanMoveToThem) {
   share::Demand d = demand(1, 1, true, wire::Rank::normal);
-  d.need.gpus = wire::to_units(4), d.types = 2, d.shape = wire::Shape::gang;
+  d.need.gpus = wire::to_units(4), d.type_mask = 2, d.shape = wire::Shape::gang;
   auto spot = machine("i-000001", 0, 60 * kSecond);
   auto plain = machine("i-000002", 0, 0);
   records_["i-000001"].type = records_["i-000002"].type = "gpu4";
@@ -247,7 +247,7 @@
   busy.free.cpus = wire::to_units(6), busier.free.cpus = wire::to_units(3);
   gpu.free = types_[1].total, gpu.free.gpus = wire::to_units(1), gpu.top_rank = wire::Rank::normal;
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
-  training.need.gpus = wire::to_units(4), training.types = 2, training.shape = wire::Shape::gang;
+  training.need.gpus = wire::to_units(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   const std::vector<share::MachineState> others{busy, busier, gpu};
   for (const auto& t : types_)
     for (const auto& z : t.zones)
@@ -257,7 +257,7 @@
     return only<Move>(provisioner_.tick(now, {{0, true, {training}, others}, {1, true, {d}, {}}}, records_));
   };
   EXPECT_TRUE(moves(now_).empty());
-  d.passed_over = true;
+  d.starved = true;
   EXPECT_TRUE(moves(now_ + kSecond).empty());  // between two tasks there is always some
   const auto given = moves(now_ + 5 * kSecond);
   ASSERT_EQ(given.size(), 1U);
@@ -275,9 +275,9 @@
 // Machines that GPU work wants are not rented for other work, but where no other could hold it.
 TEST_F(ProvisionerTest, WorkThatOnlyGpuMachinesHoldGetsOneWhileGpuWorkWaits) {
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
-  training.need.gpus = wire::to_units(4), training.types = 2, training.shape = wire::Shape::gang;
+  training.need.gpus = wire::to_units(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   share::Demand large = demand(12, 1, true, wire::Rank::normal);
-  large.shape = wire::Shape::gang, large.types = 2;
+  large.shape = wire::Shape::gang, large.type_mask = 2;
   provisioner_.tick(now_, {{0, true, {training}, {}}}, records_);  // learns that the type is wanted
   int rented = 0;
   for (const auto& r : only<Rent>(provisioner_.tick(now_ + kSecond, {{1, true, {large}, {}}}, records_)))
--- a/tests/ran_twice_test.cpp
+++ b/tests/ran_twice_test.cpp
@@ -159,9 +159,9 @@
   for (const char* id : {"i-1", "i-2"}) {
     share::MachineRecord machine;
     machine.id = id, machine.address = "127.0.0.1:9", machine.type = "cpu8", machine.zone = "z1";
-    owner.machine_known(machine, false, kNow);
+    owner.on_machine_record(machine, false, kNow);
   }
-  owner.loaded(kNow);
+  owner.finish_loading(kNow);
   wire::WorkerReport report;
   report.address = "127.0.0.1:9", report.type = "cpu8", report.zone = "z1";
   report.session = report.seq = 1;
@@ -174,9 +174,9 @@
   owner.on_report(report, kNow, place::StartRefusal::none);
   known = true;
   record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(job("j-1", 1)));
-  owner.job_known("j-1", record, false, kNow, kNow);
+  owner.on_job_record("j-1", record, false, kNow, kNow);
   owner.tick(kNow, place::StartRefusal::none);
-  for (const auto& placed : owner.describe()) EXPECT_EQ(placed, "i-1 j-1/0 running");
+  for (const auto& placed : owner.describe_attempts()) EXPECT_EQ(placed, "i-1 j-1/0 running");
 }
 
 }  // namespace
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -146,11 +146,11 @@
         jobs_[words_.at(0)] = r;
         graph_.update(words_.at(0), r);
         if (controller_ && graph_.ready(words_.at(0)) && key("elsewhere", "no") == "no")
-          controller_->job_known(words_.at(0), r, key("fresh", "yes") == "yes", now_, wall());
+          controller_->on_job_record(words_.at(0), r, key("fresh", "yes") == "yes", now_, wall());
         return true;
       }
       jobs_[words_.at(0)] = r;
-      controller_->job_known(words_.at(0), r, key("fresh", "yes") == "yes", now_, kWallClock);
+      controller_->on_job_record(words_.at(0), r, key("fresh", "yes") == "yes", now_, kWallClock);
     } else if (event == "withdrawn" || event == "finished") {
       JobRecord& r = jobs_.at(words_.at(0));
       r.status = event == "finished" ? wire::JobStatus::done : wire::JobStatus::cancelled;
@@ -160,17 +160,17 @@
       graph_.update(words_.at(0), r);
       r.spec.reset();
       if (!controller_) return true;
-      controller_->job_known(words_.at(0), r, false, now_, kWallClock);
+      controller_->on_job_record(words_.at(0), r, false, now_, kWallClock);
     } else if (event == "machine") {
       MachineRecord m;
       m.id = words_.at(0), m.address = "127.0.0.1:9", m.type = key("type", "cpu8"),
       m.zone = key("zone", "z1");
       m.spot = key("spot", "no") == "yes", m.epoch = static_cast<std::uint64_t>(number("epoch", 0));
-      controller_->machine_known(m, key("empty", "no") == "yes", now_);
+      controller_->on_machine_record(m, key("empty", "no") == "yes", now_);
     } else if (event == "loaded") {
       for (std::size_t i = 0; i + 1 < words_.size(); i += 2)
         controller_->load_done(words_[i], 0, words_[i + 1], 7);
-      controller_->loaded(now_);
+      controller_->finish_loading(now_);
       say_rebuilt();
     } else if (event == "report") {
       auto a = controller_->on_report(report(words_.at(0), 1), now_, of_owner());
@@ -187,7 +187,7 @@
       controller_->tick(now_, of_owner());
       say_rebuilt();
     } else if (event == "push") {
-      for (const auto& p : controller_->pushes(now_, 1000, of_owner())) {
+      for (const auto& p : controller_->take_pushes(now_, 1000, of_owner())) {
         out_.push_back("push to " + p.machine + " token " + pair(p.token, '+') + " session " +
                        std::to_string(p.session));
         for (const auto& o : p.orders) out_.push_back(show(o));
@@ -198,15 +198,15 @@
       controller_->pushed(words_.at(0), status, status ? &r : nullptr, now_);
       say_rebuilt();
     } else if (event == "where") {
-      for (const auto& s : controller_->describe()) out_.push_back(s);
+      for (const auto& s : controller_->describe_attempts()) out_.push_back(s);
     } else if (event == "record") {
-      for (const auto& w : controller_->done_writes(10)) {
+      for (const auto& w : controller_->take_done_writes(10)) {
         out_.push_back("write done " + w.job + " chunk " + ShareController::row_name(w.row) + " " + w.text +
                        " if version " + std::to_string(w.version));
-        controller_->done_written(w, key("ok", "yes") == "yes",
-                                  static_cast<std::uint64_t>(number("version", 8)));
+        controller_->on_done_write_result(w, key("ok", "yes") == "yes",
+                                          static_cast<std::uint64_t>(number("version", 8)));
       }
-      for (const auto& id : controller_->complete_jobs()) out_.push_back("complete " + id);
+      for (const auto& id : controller_->jobs_to_commit()) out_.push_back("complete " + id);
     } else if (event == "state") {  // as the leader is told
       for (const auto& m : controller_->machine_states(now_))
         out_.push_back(m.id + (m.usable ? " usable" : "") + (m.empty ? " empty" : "") +
@@ -261,8 +261,8 @@
           ", " + kRanks[static_cast<int>(c.rank)] +
           (c.finish_by ? ", by " + std::to_string((*c.finish_by - kWallClock) / kSecond) : ""));
       if (!controller_ || !graph_.ready(id)) continue;
-      controller_->job_known(id, r, graph_.ready_version(id) > 100, now_, wall());
-      controller_->set_course(id, c, now_, wall());
+      controller_->on_job_record(id, r, graph_.ready_version(id) > 100, now_, wall());
+      controller_->set_priority_and_deadline(id, c, now_, wall());
     }
   }
 
