--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -1,3 +1,4 @@
+// ShareController: job and machine records, the periodic pass, and machines that leave the share.
 #include "share/share_controller.h"
 
 #include <spdlog/spdlog.h>
@@ -10,14 +11,14 @@
 using wire::Shape;
 
 namespace {
-constexpr double kClockDrift = 0.001;  // two clocks of 0.05% each
+constexpr double kClockDrift = 0.001;  // between two clocks that are each off by up to 0.05%
 constexpr Micros kLeaseMargin = 300 * kMillisecond;
 constexpr Micros kFullPassInterval = 200 * kMillisecond;
 constexpr std::uint64_t kMaxPlacedPerPass =
-    1000;  // in one pass, a few milliseconds: leases and reports wait for it
+    1000;  // takes a few milliseconds, in which lease renewals and reports wait
 constexpr Micros kDefaultStartWithin = 60 * kSecond;
 constexpr Micros kDrainTimeout = 20 * kSecond;
-constexpr Micros kUnreportedLogDelay = 1500 * kMillisecond;  // after a takeover, before it is worth a line
+constexpr Micros kUnreportedLogDelay = 1500 * kMillisecond;  // after a takeover, before it is logged
 }  // namespace
 
 std::uint64_t epoch_of_token(std::uint64_t token) { return token >> place::kEpochShift; }
@@ -82,7 +83,7 @@
     if (it == view_.jobs.end()) return;
     Job& j = *it->second;
     (record.status == wire::JobStatus::cancelled ? j.cancelled : j.finished) = true;
-    const auto active = j.active;  // halting a task not yet sent removes it
+    const auto active = j.active;  // a copy: dropping an attempt that was not sent yet removes it
     for (const auto& [index, m] : active) {
       auto p = m->tasks.find({id, index});
       if (p == m->tasks.end()) continue;
@@ -123,7 +124,8 @@
   const auto rows = rows_of_unplanned_jobs_.extract(id);
   if (rows)
     for (const auto& [row, read] : rows.mapped()) load_done(id, row, read.text, read.version);
-  // Before anything of it can be placed: its tasks may be running, or done, on machines that told so already.
+  // This must come before any of its tasks can be placed: machines may already have reported that some of
+  // them are running or done.
   attribute_to_job(known, now);
 }
 
@@ -154,9 +156,9 @@
   for (std::size_t i = 0; i < types_.size(); ++i)
     if (types_[i].name == record.type) m.type = &types_[i], m.type_index = i;
   if (m.type) m.free = m.type->total;
-  // A machine recorded before our takeover may hold anything until it reports under our token, or until the
-  // lease that the former owner could last have renewed has lapsed. One that joins later was handed over
-  // empty.
+  // A machine recorded before the takeover may hold any attempt until it reports under our token, or until
+  // the lease that a former owner could last have renewed has expired. A machine that joins later was empty
+  // when it was handed over.
   m.handed_empty = handed_empty;
   m.lapse_at = latest_lease_end(handed_empty ? now : std::max(now, renewable_until_));
   m.idle_since = now;
@@ -180,11 +182,11 @@
   for (const auto& [id, m] : view_.machines)
     if ((!m.accounted && !m.handed_empty) || awaits_job_records(m)) return;
   view_.rebuilt = true;
-  spdlog::info("share {}: rebuilt, {} machines, {} jobs", settings_.share, view_.machines.size(),
-               view_.jobs.size());
+  spdlog::info("share {}: all machines accounted for: {} machines, {} jobs", settings_.share,
+               view_.machines.size(), view_.jobs.size());
 }
 
-/// Which machines keep a takeover from being whole, for operators: said once.
+/// Logs, once per takeover, how many machines keep it from completing, and the first of them.
 void ShareController::log_unreported_machines(Micros now) {
   if (view_.rebuilt || logged_unreported_machines_ || now - taken_over_at_ < kUnreportedLogDelay) return;
   logged_unreported_machines_ = true;
@@ -193,9 +195,10 @@
   for (const Machine* m : view_.all)
     if (!m->accounted && !m->handed_empty && ++unreported == 1) first = m;
   if (first)
-    spdlog::info("share {}: {} of {} machines have not answered, {} ({}, {}{}) ...", settings_.share,
-                 unreported, view_.machines.size(), first->record.id, first->record.type, first->record.zone,
-                 first->spot ? ", spot" : "");
+    spdlog::info(
+        "share {}: {} of {} machines have not reported since the takeover; the first is {} ({}, {}{})",
+        settings_.share, unreported, view_.machines.size(), first->record.id, first->record.type,
+        first->record.zone, first->spot ? ", spot" : "");
 }
 
 bool ShareController::tick(Micros now, StartRefusal owner_refusal) {
@@ -213,7 +216,7 @@
     }
     measure_result_wait(m, now);
     if (m.drain_until > 0 && now >= m.drain_until) m.drain_until = 0, m.drain_to = -2, view_.gained();
-    if (m.taken_at)  // save what can be saved before the machine goes
+    if (m.taken_at)  // tasks with checkpoints save their state before the cloud takes the machine back
       for (auto& [key, p] : m.tasks)
         if (p.job && !p.halting && p.job->spec->checkpoint_every > 0 && p.phase != Phase::assigned) {
           if (p.job->spec->shape == Shape::gang)
@@ -226,9 +229,9 @@
     if (waiting_tasks() > 0) count_start_refusal(owner_refusal);
     return false;
   }
-  // A pass costs what changed: what was tried in vain since then isn't tried again, and nothing is where
-  // nothing changed. What only time brings (room no longer held, a deadline that presses) is looked for now
-  // and then.
+  // The cost of a pass depends on what has changed: placements that failed are not tried again until
+  // something changes, and without any change there is no pass. Effects of time alone (reserved room that
+  // becomes free, a deadline that comes near) are looked for every kFullPassInterval.
   const bool due = now - last_full_pass_ >= kFullPassInterval || now < last_full_pass_;
   if (due) last_full_pass_ = now, view_.gained();
   if (!due && changes_at_last_complete_pass_ == view_.changes) return false;
@@ -237,7 +240,7 @@
   return !complete;
 }
 
-// ---------------------------------------------------------------- giving machines away
+// ---------------------------------------------------------------- machines that leave the share
 
 bool ShareController::release(const std::string& machine, Micros) {
   auto it = view_.machines.find(machine);
@@ -257,14 +260,14 @@
   if (it == view_.machines.end() || !loaded_ || !it->second.up) return;
   Machine& m = it->second;
   if (m.drain_until > now && (rank != Rank::low || m.drain_to != to)) return;
-  if (rank == Rank::low) {  // nothing ranks below: what runs may finish, nothing more is placed
+  if (rank == Rank::low) {  // no rank is below it: running tasks may finish, and no more are placed
     m.drain_to = to;
     m.drain_until = now + 2 * kDrainTimeout;
     return;
   }
   for (const auto& [key, p] : m.tasks)
     if (!p.job || p.job->rank >= rank) return;
-  spdlog::info("machine {}: {} tasks stopped to give it to share {}", machine, m.tasks.size(), to);
+  spdlog::info("machine {}: stopping {} tasks to move the machine to share {}", machine, m.tasks.size(), to);
   m.drain_to = to;
   m.drain_until = now + kDrainTimeout;
   for (auto& [key, p] : m.tasks) {
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -1,8 +1,10 @@
-// The owner of one share: what runs where on its machines, from worker reports to orders. Socket-free; it is
-// fed events and the time, so that traces can drive it.
+// Controller of one share: tracks which task attempts run on the share's machines, based on worker reports,
+// and decides which orders the workers get. It does no I/O: the caller passes in events and the current time,
+// so that trace tests can drive it.
 //
-// Invariant: a task is placed only when every machine that could hold it is accounted for: by a report under
-// our token, or by a worker lease that has surely lapsed since the last moment anyone could have renewed it.
+// Invariant: a task is placed only when every machine that could hold it is accounted for, either by a report
+// under a token of this controller, or because the worker's lease has certainly expired since the last time
+// at which any owner could have renewed it.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -27,177 +29,219 @@
 using wire::Resources;
 
 using place::MachineRecord;
-/// The epoch that a worker's token belongs to.
+/// Returns the epoch that issued a worker's token.
 std::uint64_t epoch_of_token(std::uint64_t token);
+/// Converts a machine's record to and from the JSON value stored in the state service. `version` is the
+/// revision of the stored row. machine_from_json throws if a field is missing or has the wrong type.
 wire::Json machine_to_json(const MachineRecord& m);
 MachineRecord machine_from_json(const std::string& id, const wire::Json& j, std::uint64_t version);
 
-/// Waiting work of one kind, told to the leader.
+/// Waiting tasks with the same requirements, reported to the leader, which rents and moves machines for them.
 struct Demand {
-  Resources need;
-  std::uint64_t type_mask = ~0ULL;  // bit per machine type in name order
-  std::uint8_t zone = 255;          // index into the settings' zones
+  Resources need;                   // of one task
+  std::uint64_t type_mask = ~0ULL;  // allowed machine types: one bit each, in name order
+  std::uint8_t zone = 255;          // the only allowed zone, an index into the settings' zones; 255: any
   wire::Rank rank = wire::Rank::low;
   wire::Shape shape = wire::Shape::array;
   bool spot = false, one_zone = false;
-  bool excludes_gpu_machines = false;  // for now: it waits for a machine without GPUs
-  bool starved = false;  // nothing of it was started for long: room in other shares is to come to it
-  bool accepts_any_machine = false;  // for longer: beside GPU work too
+  bool excludes_gpu_machines = false;  // for now it waits for a machine without GPUs
+  bool starved = false;  // no task has started for long: machines of other shares should be freed for it
+  bool accepts_any_machine = false;  // waiting even longer: may also run beside GPU tasks
   std::uint32_t waiting = 0, running = 0;
-  std::uint32_t closed_zone_mask = 0;  // bit per zone that may take no more of it
-  std::uint32_t max_per_zone = 0;      // at most so many in a zone; 0: any number
-  std::uint32_t slack_ms = 0;          // until the work should have begun
+  std::uint32_t closed_zone_mask = 0;  // zones that may take no more of its tasks: one bit each
+  std::uint32_t max_per_zone = 0;      // most tasks in one zone; 0: no limit
+  std::uint32_t slack_ms = 0;          // time left until the tasks should have started
   std::uint32_t estimated_run_ms = 0;
 };
 
-/// A machine's standing, told to the leader.
+/// State of a machine, reported to the leader.
 struct MachineState {
   std::string id;
   Resources free;
-  bool usable = false;  // may take tasks now
-  bool empty = false;   // surely holds nothing
-  bool lapsed = false;  // its worker is gone
+  bool usable = false;  // tasks may be placed on it now
+  bool empty = false;   // may leave the share: holds no attempts and no results that are still needed
+  bool lapsed = false;  // its worker is lost: the lease expired, or orders don't reach it
   bool suspect = false;
   std::uint32_t idle_ms = 0;
-  wire::Rank top_rank = wire::Rank::low;  // of its tasks
+  wire::Rank top_rank = wire::Rank::low;  // highest rank among its tasks
 };
 
 struct ShareControllerSettings {
   int share = 0;
   place::RnnSettings rnn;
   Micros suspect_for = 60 * kSecond;
-  int suspect_after = 3;  // errors of different jobs, or in a row
+  int suspect_after = 3;  // errors of different jobs, or consecutive ones
   Micros error_backoff = 2 * kSecond;
-  /// The share plans this team's jobs; not set: all teams'.
+  /// Returns whether this share plans the team's jobs. If not set, the share plans the jobs of all teams.
   std::function<bool(const std::string& team)> owns_team;
 };
 
+/// Plans the jobs of one share for as long as this process owns it. The settings and machine types passed to
+/// the constructor must outlive the controller. All times are in microseconds on the caller's steady clock,
+/// except `time_of_day`.
 class ShareController {
  public:
   using StartRefusal = place::StartRefusal;
-  /// Finds any job's record, or null: what is not ours or over must be told from what is not known yet.
+  /// Finds the record of any job, of this share or not; returns null if none is known. It lets the controller
+  /// tell jobs that have ended or belong to another share from jobs whose records have not been read yet.
   using JobLookup = std::function<const JobRecord*(const std::string&)>;
 
-  /// `renewable_until`: the last moment the former owner may have renewed a worker's lease.
+  /// `renewable_until`: the latest time at which a former owner may have renewed a worker's lease.
   ShareController(const wire::PlatformSettings& platform, const std::vector<wire::MachineType>& types,
                   ShareControllerSettings settings, JobLookup lookup, std::uint64_t epoch, Micros now,
                   Micros renewable_until);
 
   // ---- events
+
+  /// Takes in a new or changed record of a job that this share plans; for a job that has ended, stops its
+  /// attempts. `fresh`: the job was accepted after the takeover, so that none of its tasks can run yet.
   void on_job_record(const std::string& id, const JobRecord& record, bool fresh, Micros now,
                      Micros time_of_day);
-  /// Any share's job: which machine types its GPU tasks can use.
+  /// Notes which machine types the GPU tasks of a job can use. Called for the jobs of all shares.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
-  /// Its priority and when it must be done, as those that need it grant and want.
+  /// Sets a job's effective priority and deadline, which also depend on the jobs that wait for it.
   void set_priority_and_deadline(const std::string& id, const job::Course& course, Micros now,
                                  Micros time_of_day);
-  /// Job records are known as they were then, or later: what had no record by then has none.
+  /// All job records are known as of `as_of` or later: a job without a record by then was not accepted
+  /// before `as_of`.
   void records_read(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
+  /// Takes in a progress row (finished tasks) that a former owner wrote. `row`: see DoneWrite::row.
   void load_done(const std::string& job, std::uint32_t row, const std::string& text, std::uint64_t version);
-  /// Every controller reads rows of single units: what only those hold may be forgotten by the workers.
+  /// Set when all controllers read rows of single units, so that workers may forget results that are recorded
+  /// only in such rows.
   void set_all_controllers_read_units(bool on) { all_controllers_read_units_ = on; }
-  void finish_loading(Micros now);  // all jobs, done-sets and machines of the share were told
-  /// `handed_empty`: recorded after our takeover, so it was handed over empty.
+  /// All jobs, progress rows and machines of the share have been passed in; nothing is placed before.
+  void finish_loading(Micros now);
+  /// Takes in the record of a machine of this share. `handed_empty`: the record was written after the
+  /// takeover, so the machine was empty when it joined the share.
   void on_machine_record(const MachineRecord& record, bool handed_empty, Micros now);
+  /// The machine's record was deleted or names another share.
   void on_machine_removed(const std::string& id, Micros now);
 
+  /// Answer to a worker's report.
   struct ReportAnswer {
     std::uint64_t token = 0;
     std::vector<Order> orders;
   };
-  /// A worker's own report. `owner_refusal`: what keeps us from starting anything now. Answering renews the
-  /// worker's lease; nothing: it is not to be answered, its lease has to run out.
+  /// Handles a report that a worker sent on its own. `owner_refusal`: why this owner may not start tasks now,
+  /// or none. The answer renews the worker's lease. If nothing is returned, the report must not be answered,
+  /// so that the lease expires.
   std::optional<ReportAnswer> on_report(const wire::WorkerReport& report, Micros now,
                                         StartRefusal owner_refusal);
 
-  /// Orders to be pushed to a machine; the caller reports what came of it.
+  /// Orders to be pushed to a machine. The caller must pass the outcome to pushed().
   struct OrderPush {
     std::string machine, address;
     std::uint64_t token = 0, session = 0;
     std::vector<Order> orders;
   };
-  /// At most so many (over 0).
+  /// Returns the pushes to send now, at most `max_pushes` (must be positive), and marks their orders as sent.
   std::vector<OrderPush> take_pushes(Micros now, std::size_t max_pushes, StartRefusal owner_refusal);
+  /// Outcome of a push. `status`: 200 if the worker executed the orders, 409 if it refused the push; both
+  /// come with the worker's report. Anything else: no valid answer arrived, and the orders may still be
+  /// executed.
   void pushed(const std::string& machine, int status, const wire::WorkerReport* report, Micros now);
 
-  /// Lapses, placement, preemption. true: the pass was long and stopped half way; go on soon, after what else
-  /// waits (leases, reports).
+  /// Handles expired worker leases, placement and preemption. Returns true if the placement pass was long and
+  /// stopped before its end; call it again soon, after other pending work (leases, reports).
   bool tick(Micros now, StartRefusal owner_refusal);
 
-  // ---- what is to be recorded
+  // ---- progress rows in the state service
+
+  /// A write of a progress row, which lists finished tasks of a job.
   struct DoneWrite {
     std::string job;
-    std::uint32_t row = 0;  // a chunk; from kFirstUnitRow on a unit
+    std::uint32_t row = 0;  // a chunk, or kFirstUnitRow plus a unit
     std::string text;
-    std::uint64_t version = 0;  // guard
+    std::uint64_t version = 0;  // the write's guard: the row's version as last seen
   };
-  /// Rows to be written now, at most so many: first those that hold up machines which are to leave.
+  /// Returns the rows to write now, at most `max_writes`, and marks them as in flight. Rows that keep
+  /// machines from leaving the share come first. The caller must pass each outcome to on_done_write_result().
   std::vector<DoneWrite> take_done_writes(std::size_t max_writes, Micros now = 0);
+  /// Row numbers below this are chunks, those from it on are single units.
   static constexpr std::uint32_t kFirstUnitRow = 1U << 16;
-  /// Pushes lost in a row: starts wait for a report until one arrives.
+  /// After this many consecutive lost pushes, tasks are started only in answers to reports, until a push
+  /// succeeds.
   static constexpr int kMaxLostPushes = 2;
-  /// A progress row's name below its job, and back: "<job>/<chunk>" or "<job>/u/<unit>". The first version
-  /// takes the latter for a job that it doesn't know.
+  /// Name of a progress row below its job: "<chunk>" or "u/<unit>". parse_row_name takes "<job>/<chunk>" or
+  /// "<job>/u/<unit>" and returns the job and the row; nothing if the name is malformed. The first version of
+  /// the controller takes a unit's row for one of a job "<job>/u" that it doesn't know.
   static std::string row_name(std::uint32_t row);
   static std::optional<std::pair<std::string, std::uint32_t>> parse_row_name(const std::string& name);
+  /// `version`: the row's version after the write, or as found if the write failed.
   void on_done_write_result(const DoneWrite& w, bool ok, std::uint64_t version);
-  std::vector<std::string> jobs_to_commit() const;  // all tasks done, status not yet committed
+  /// Jobs with all tasks done whose final status is not being committed yet.
+  std::vector<std::string> jobs_to_commit() const;
+  /// Names of the job's existing progress rows, with the job's id in front.
   std::vector<std::string> done_row_keys(const std::string& job) const;
+  /// Whether the job's final status is being committed; nothing of the job is placed meanwhile.
   void set_committing(const std::string& job, bool on);
 
-  /// An empty machine may leave the share; from then on nothing is placed on it.
+  // ---- machines that leave the share
+
+  /// Returns true if the machine may leave the share; from then on nothing is placed on it.
   bool release(const std::string& machine, Micros now);
-  /// Releases that were refused since the share was taken, by reason.
+  /// Number of refused releases since the takeover, by reason.
   const std::array<std::uint64_t, place::kReleaseRefusals>& releases_refused() const {
     return releases_refused_;
   }
-  /// Results that the machines report and no row is known to hold.
+  /// Results that machines report and that are not known to be recorded in any progress row.
   struct HeldResults {
     std::size_t results = 0, machines = 0;
-    Micros oldest_age = 0;  // age
+    Micros oldest_age = 0;
   };
   HeldResults held_results(Micros now) const;
-  /// Chunks of open jobs that we don't plan, of which our machines hold results: another share's, or jobs
-  /// that were not ready yet when last read.
+  /// Chunks of unfinished jobs that this share doesn't plan but of which its machines hold results. The jobs
+  /// belong to other shares, or were not ready yet when last read.
   std::set<std::pair<std::string, std::uint32_t>> needed_chunks_of_other_shares() const;
-  /// What the owner of another share has recorded of such a chunk.
+  /// `text`: what the owner of another share has recorded of such a chunk.
   void on_chunk_of_other_share(const std::string& job, std::uint32_t chunk, const std::string& text);
-  /// What machines reported before their jobs' records were read.
+  /// Attempts and results that machines reported before their jobs' records were read.
   struct AttributionCounts {
-    std::size_t unattributed_attempts = 0, unattributed_results = 0;  // now
-    std::uint64_t attributed_attempts = 0, attributed_results = 0;    // since the share was taken
+    std::size_t unattributed_attempts = 0, unattributed_results = 0;  // at present
+    std::uint64_t attributed_attempts = 0, attributed_results = 0;    // since the takeover
     std::uint64_t dropped_attempts = 0, dropped_results = 0;          // of jobs that were never accepted
   };
   AttributionCounts attribution_counts() const;
-  /// For how long machines that were empty had to wait until their results were recorded, since last asked.
+  /// How long machines without tasks had to wait until their results were recorded, since the last call.
   std::vector<Micros> take_result_waits() { return std::exchange(result_waits_, {}); }
+  /// The released machine was not moved after all: tasks may be placed on it again.
   void cancel_release(const std::string& machine);
-  /// Stops what ranks below `rank` so that the machine may leave for a share whose tasks wait.
+  /// Frees the machine for share `to`, whose tasks of rank `rank` wait for room: stops its tasks if all of
+  /// them rank below `rank`, otherwise leaves it unchanged. With the lowest rank nothing is stopped, but
+  /// nothing more is placed on the machine for a while.
   void drain(const std::string& machine, int to, wire::Rank rank, Micros now);
+  /// Drained machines that may leave now, and the share that each is for.
   std::vector<std::pair<std::string, int>> drained_machines() const;
 
-  // ---- answers
+  // ---- queries
+
+  /// Numbers of done and of running tasks of a job; nothing if this share doesn't plan it.
   std::optional<std::pair<std::uint32_t, std::uint32_t>> task_counts(const std::string& job) const;
+  /// Waiting work and machines, as reported to the leader.
   std::vector<Demand> demands(Micros now) const;
   std::vector<MachineState> machine_states(Micros now) const;
+  /// Whether every machine has been accounted for since the takeover.
   bool rebuilt() const { return view_.rebuilt; }
   bool has_machine(const std::string& id) const { return view_.machines.contains(id); }
   std::uint64_t epoch() const { return epoch_; }
-  /// Attempts numbered in this epoch; from place::kAttemptsPerEpoch on nothing is started.
+  /// Number of attempts numbered in this epoch; at place::kAttemptsPerEpoch nothing more is started.
   std::uint64_t attempts() const { return placement_.attempts(); }
-  /// The share is held on under a higher epoch, recorded as ours without a moment in between.
+  /// Continues under a higher epoch, which was recorded for this owner without a gap in ownership. An
+  /// epoch that is not higher is ignored.
   void raise_epoch(std::uint64_t epoch);
-  /// Attempts that counted as gone since the share was taken, by reason.
+  /// Number of attempts that were dropped from their machines since the takeover, by reason.
   const std::array<std::uint64_t, place::kFreedReasons>& freed_attempts() const { return view_.freed; }
-  /// Passes and orders that were refused since the share was taken, by reason.
+  /// Number of placement passes and start orders that were refused since the takeover, by reason.
   const std::array<std::uint64_t, place::kStartRefusals>& refused_starts() const { return refused_starts_; }
   const place::Rnn& rnn() const { return placement_.rnn(); }
   int share() const { return settings_.share; }
+  /// Number of tasks of unfinished jobs that wait for a start.
   std::size_t waiting_tasks() const;
-  /// From a job's submission to the starts of its tasks, since last asked.
+  /// Times from when a job became ready to the starts of its tasks, since the last call.
   std::vector<Micros> take_start_waits() { return std::exchange(start_waits_, {}); }
 
-  /// Which machine each live attempt is on, for traces and tests.
+  /// One line for each live attempt with its machine and phase, for trace and unit tests.
   std::vector<std::string> describe_attempts() const;
 
  private:
@@ -210,11 +254,11 @@
   using TaskKey = place::TaskKey;
   using HeldResult = place::HeldResult;
 
-  /// How a worker's own report relates to what is known of the machine.
+  /// How a report that a worker sent on its own relates to what is already known of the machine.
   enum class ReportFreshness : std::uint8_t {
-    newest,     // it tells something new
-    overtaken,  // by the answer to a push; the worker waits for our answer all the same
-    obsolete,   // a newer report of the worker was seen: it drops our answer
+    newest,     // it brings new information
+    overtaken,  // by the answer to a push; the worker still waits for the answer to this report
+    obsolete,   // a newer report of the worker was seen, so the worker drops an answer to this one
   };
   static ReportFreshness freshness_of(const Machine& m, const wire::WorkerReport& r);
   std::uint64_t current_token(const Machine& m) const;
@@ -223,7 +267,7 @@
   void doubt_delivery(Machine& m, Micros now, const char* why);
   void on_task_succeeded(Job& j, Machine& m, const Placed& p, Micros now);
   void on_task_failed(Job& j, Machine& m, Micros now);
-  /// What the records say of a job that a machine reports.
+  /// What the job records say about a job that a machine reports.
   enum class JobDisposition : std::uint8_t { planned, ended, of_another_share, not_known };
   JobDisposition disposition_of(const std::string& job) const;
   bool may_have_job_record(const Placed& p) const;
@@ -253,13 +297,12 @@
                                const std::map<TaskKey, HeldResult>& before, Micros now);
   void measure_result_wait(Machine& m, Micros now);
   ReleaseRefusal release_refusal(const Machine& m) const;
-  /// How much depends on a job's rows being written soon.
+  /// How urgently a job's progress rows should be written.
   struct WriteUrgency {
-    std::uint32_t machines_being_reclaimed =
-        0;                                  // machines that the cloud is about to take hold results of it
-    std::uint32_t machines_to_release = 0;  // the same of machines that are empty or being drained
-    std::uint32_t unrecorded_results = 0;   // results
-    std::set<std::uint32_t> units;          // in which those machines' results are
+    std::uint32_t machines_being_reclaimed = 0;  // with results of the job; the cloud takes them back soon
+    std::uint32_t machines_to_release = 0;       // with results of the job, and empty or being drained
+    std::uint32_t unrecorded_results = 0;
+    std::set<std::uint32_t> units;  // that those machines' results belong to
   };
   std::map<std::string, WriteUrgency> write_urgency_by_job(Micros now) const;
   void append_row_write(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out);
@@ -274,19 +317,20 @@
   Micros taken_over_at_;
   std::vector<Micros> start_waits_, result_waits_;
   Micros records_as_of_ = 0;
-  AttributionCounts attribution_counts_;  // but for what is open now
+  AttributionCounts attribution_counts_;  // without the counts of unattributed ones
   struct ReadRow {
     std::string text;
     std::uint64_t version = 0;
   };
-  /// Rows of jobs that are not planned yet, by job: read once, after the takeover.
+  /// Progress rows of jobs that are not planned yet, by job. They are kept because rows are read only once,
+  /// after the takeover.
   std::map<std::string, std::map<std::uint32_t, ReadRow>> rows_of_unplanned_jobs_;
-  std::map<std::string, DoneSet> recorded_by_others_;  // by job, of needed_chunks_of_other_shares()
+  std::map<std::string, DoneSet> recorded_by_others_;  // by job; for needed_chunks_of_other_shares()
   std::array<std::uint64_t, place::kReleaseRefusals> releases_refused_{};
   std::array<std::uint64_t, place::kStartRefusals> refused_starts_{};
-  Micros last_full_pass_ = 0;                        // last pass over everything
-  std::uint64_t changes_at_last_complete_pass_ = 0;  // the view's changes after the last pass
-  std::vector<int> zone_ids_;                        // of the settings, as the view numbers them
+  Micros last_full_pass_ = 0;                        // when a pass last looked at everything again
+  std::uint64_t changes_at_last_complete_pass_ = 0;  // ClusterView::changes after it
+  std::vector<int> zone_ids_;                        // of the settings' zones, as ClusterView numbers them
   place::ClusterView view_;
   place::Placement placement_;
 };
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -1,6 +1,7 @@
-// Attempts that machines report, to the jobs that they belong to. A report may come before its job's record
-// was read: that no record is known is no knowledge that there is none. Until the records are known as of a
-// moment after the report, the attempt stays in the account of its machine and holds it and its task.
+// ShareController: assigns the attempts and results that machines report to their jobs. A report may arrive
+// before its job's record has been read, so a missing record doesn't mean that the job doesn't exist. Until
+// the job records are known as of a time after the report, the attempt stays listed on its machine as
+// unattributed: nothing else is placed on that machine, and the attempt's task is not placed anywhere.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -16,26 +17,27 @@
   if (view_.jobs.contains(job)) return JobDisposition::planned;
   const JobRecord* record = lookup_job_(job);
   if (record && record->final()) return JobDisposition::ended;
-  if (!record || !record->spec) return JobDisposition::not_known;  // or not whole yet
-  // A job of ours that is not planned waits for others, as far as we know.
+  if (!record || !record->spec) return JobDisposition::not_known;  // no record, or an incomplete one
+  // As far as we know, a job of this share that is not planned is still waiting for other jobs.
   const bool ours = !settings_.owns_team || settings_.owns_team(record->spec->team);
   return ours ? JobDisposition::not_known : JobDisposition::of_another_share;
 }
 
-/// Its job's record may still be on its way to us, or is there and not whole.
+/// Returns whether the attempt's job may exist: its record may not have been read yet, or is incomplete.
 bool ShareController::may_have_job_record(const Placed& p) const {
   const JobRecord* record = lookup_job_(p.job_id);
   return records_as_of_ <= p.started || (record && !record->spec);
 }
 
-/// One of its attempts may be of any team.
+/// Returns whether the machine holds an attempt whose job, and so its team, is still unknown because the job
+/// records are not known as of a time after the attempt was reported.
 bool ShareController::awaits_job_records(const Machine& m) const {
   return m.unattributed > 0 && std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
            return t.second.unattributed && records_as_of_ <= t.second.started;
          });
 }
 
-/// An attempt that the machine reports and its account doesn't have.
+/// Adds an attempt that the machine reports and that is not listed on it.
 void ShareController::add_reported_attempt(Machine& m, const TaskReport& t, Micros now) {
   Placed p;
   p.job_id = t.job;
@@ -47,6 +49,7 @@
   add_attempt(m, std::move(p), now);
 }
 
+/// Lists the attempt on the machine: as its task's current attempt, as one to be stopped, or as unattributed.
 void ShareController::add_attempt(Machine& m, Placed p, Micros now) {
   const JobRecord* record = lookup_job_(p.job_id);
   switch (disposition_of(p.job_id)) {
@@ -56,17 +59,17 @@
     }
     case JobDisposition::ended:
     case JobDisposition::of_another_share:
-      // What is over holds its place and counts against its team until it is gone.
+      // The attempt uses its machine's resources and counts against its team's limit until it is gone.
       if (record->spec) p.need = record->spec->need, p.team = record->spec->team;
       view_.halt(p, 0);
       break;
     case JobDisposition::not_known:
       p.unattributed = may_have_job_record(p);
       if (p.unattributed) break;
-      // Started before we heard of it, its job would have a record by now; or it waits for others, and
-      // nothing of it may run.
-      spdlog::info("machine {}: {}/{} try {} is stopped: no job that may run", m.record.id, p.job_id, p.index,
-                   p.attempt);
+      // If its job had been accepted before the attempt was reported, a record would be known by now. Or
+      // there is a record, and the job still waits for others, so none of its tasks may run.
+      spdlog::info("machine {}: stopping {}/{} try {}: its job doesn't exist or may not run yet", m.record.id,
+                   p.job_id, p.index, p.attempt);
       ++attribution_counts_.dropped_attempts;
       view_.halt(p, 0);
       break;
@@ -75,14 +78,15 @@
 }
 
 void ShareController::add_attempt_of_planned_job(Job& j, Machine& m, Placed p, Micros now) {
-  if (p.index >= j.spec->tasks) {  // no task of it
+  if (p.index >= j.spec->tasks) {  // the job has no such task
     view_.halt(p, 0);
     return view_.add(m, std::move(p));
   }
   p.need = j.spec->need;
   p.team = j.spec->team;
   if (auto a = j.active.find(p.index); a != j.active.end()) {
-    // Meant for another machine and not sent yet: what runs stays, or the task would run twice.
+    // The task was assigned to another machine, but the order was not sent yet. The running attempt is kept
+    // and the assignment dropped; otherwise the task would run twice.
     Machine& other = *a->second;
     auto q = other.tasks.find({p.job_id, p.index});
     if (q != other.tasks.end() && q->second.phase == Phase::assigned)
@@ -93,15 +97,15 @@
   } else {
     p.job = &j;
     if (j.cancelled || j.finished || j.done.test(p.index))
-      view_.halt(p, 0);  // over, but it must be seen to go
+      view_.halt(p, 0);  // finished, but listed until a report shows that it is gone
     else if (!p.fetching)
       m.used_image(*j.spec);
   }
   view_.add(m, std::move(p));
 }
 
-/// A job that is planned from now on: what its machines reported before. Results first, so that a done task's
-/// other attempt is stopped.
+/// Called when a job starts to be planned: assigns to it the results and attempts that machines reported
+/// before. Results come first, so that another attempt of a task that is done gets stopped.
 void ShareController::attribute_to_job(Job& j, Micros now) {
   const auto of_job = [&j](const auto& entries, auto it) {
     return it != entries.end() && it->first.first == j.id;
@@ -123,7 +127,8 @@
   update_rebuilt(now);
 }
 
-/// What is over, another share's, or no job's by records read since.
+/// Handles unattributed attempts whose jobs, by the records read since, have ended, belong to another share
+/// or don't exist.
 void ShareController::resolve_unattributed_attempts(Micros now) {
   if (view_.unattributed == 0) return;
   for (Machine* m : view_.all) {
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -1,5 +1,5 @@
-// Orders to workers, in answers to their reports and pushed: which may leave now, and what counts of those
-// whose answer is lost.
+// ShareController: orders to workers, in answers to their reports and in pushes. Decides which orders may be
+// sent now, and what to assume of pushed orders whose answer was lost.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -13,13 +13,13 @@
 namespace {
 constexpr std::size_t kMaxOrdersPerAnswer = 300;  // keeps an answer well under 64 KiB
 constexpr Micros kHaltRepeatInterval = kSecond;
-constexpr Micros kPushRetryDelay = 2 * kSecond;  // twice as long after each further push that is lost
+constexpr Micros kPushRetryDelay = 2 * kSecond;  // doubled after each further lost push
 constexpr int kMaxPushRetryDoublings = 5;
-constexpr Micros kMaxPushRetryReportIntervals = 4;  // times between a worker's reports
+constexpr Micros kMaxPushRetryReportIntervals = 4;  // upper bound of the retry delay, in report intervals
 }  // namespace
 
-/// The last look before an order to start leaves. What would break an invariant is refused and not tried
-/// again.
+/// Final check before an order to start an attempt is sent. An attempt whose start would break an invariant
+/// is dropped, not retried.
 bool ShareController::start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator attempt,
                                     StartRefusal owner_refusal, Micros now) {
   using place::Invariant;
@@ -37,6 +37,8 @@
   return false;
 }
 
+/// Returns the orders for the machine and marks them as sent. `answer_seq`: sequence number of the report
+/// that the orders answer; 0 for a push. May raise the machine's token: read current_token() afterwards.
 std::vector<Order> ShareController::take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
                                                 StartRefusal owner_refusal, Micros now) {
   std::vector<Order> out;
@@ -60,14 +62,15 @@
     p.started = now;
     launches = true;
     out.push_back({Order::Verb::launch, p.job_id, p.index, p.attempt, 0});
-    spdlog::debug("start {}/{} try {} on {} session {} token {} by {}", p.job_id, p.index, p.attempt,
+    spdlog::debug("starting {}/{} try {} on {}, session {}, token {}, by {}", p.job_id, p.index, p.attempt,
                   m.record.id, m.session, current_token(m), by_push ? "push" : "answer");
   }
-  // Room first: halts and forgets go before launches.
+  // Halt orders come before launch orders, because they free resources.
   std::stable_partition(out.begin(), out.end(), [](const Order& o) { return o.verb != Order::Verb::launch; });
-  // A copy of a push that was carried out may come at any later time, and would start again what the worker
-  // has forgotten: so it forgets under a higher token than any start was pushed under. Not while a push is on
-  // its way, which would be refused; the next report tells again what it could forget.
+  // A copy of an executed push may arrive at any later time, and would restart tasks whose results the worker
+  // has forgotten. So forget orders are sent under a higher token than any pushed start. They are not sent
+  // while a push is in flight, because the worker would refuse that push; the next report lists the same
+  // results again.
   const bool needs_fence = m.launch_token == current_token(m);
   if (!m.forgets.empty() && !(needs_fence && m.pushing)) {
     if (needs_fence) ++m.bump;
@@ -98,12 +101,13 @@
     if (!wanted || m.pushing || now < m.push_again || m.record.address.empty()) continue;
     if (m.accounted && !m.up) continue;
     OrderPush push{m.record.id, m.record.address, 0, m.session, {}};
-    // To a machine that pushes don't reach, starts go with its reports: pushed first and fenced each time, a
-    // task would never start where only workers can reach nodes (tests/node_test.cpp). Such a push asks
-    // whether they reach it again, and repeats halts.
+    // If pushes don't reach the machine, tasks are started only in answers to its reports. If starts were
+    // pushed first and fenced each time, a task would never start in a network where only the workers can
+    // open connections to the nodes (tests/node_test.cpp). A push without starts checks whether pushes arrive
+    // again, and repeats halt orders.
     const StartRefusal refusal = m.pushes_lost < kMaxLostPushes ? owner_refusal : StartRefusal::pushes_lost;
     if (m.accounted) push.orders = take_orders(m, true, 0, refusal, now);
-    push.token = current_token(m);  // the orders may take a higher one
+    push.token = current_token(m);  // taking the orders may have raised it
     m.pushing = true;
     out.push_back(std::move(push));
   }
@@ -123,21 +127,21 @@
       Placed& placed = current->second;
       if (placed.phase != Phase::sent || !placed.by_push || placed.fence != 0) continue;
       if (status == 409)
-        view_.drop(m, current, now, Freed::push_refused);  // nothing was executed
+        view_.drop(m, current, now, Freed::push_refused);  // none of its orders was executed
       else
-        placed.by_push = false, placed.answer_seq = 0;  // executed: the next newer report shows it
+        placed.by_push = false, placed.answer_seq = 0;  // executed: the next newer report lists it
     }
     if (m.hearing.shown(report->token, 0)) view_.gained(m);
     apply_report(m, *report, false, now);
     if (status == 409) m.push_again = m.accounted ? now + kSecond / 2 : now;
     return;
   }
-  // No answer: the orders may arrive minutes later (held packets), also after the task was placed elsewhere.
-  // A higher token fences them; until a report shows that the worker has seen it, those tasks count as being
-  // there.
-  // Where pushes never arrive, reports have shown after the first whether answers do.
+  // No answer: the orders may still arrive minutes later (delayed packets), even after the task was placed
+  // elsewhere. A higher token fences them. Until a report shows that the worker has seen that token, the
+  // pushed attempts count as being on the machine. Only the first of several lost pushes puts the machine in
+  // doubt: if pushes never arrive, the reports since then have shown whether answers do.
   if (lost_before == 0)
-    doubt_delivery(m, now, "a push was not answered");
+    doubt_delivery(m, now, "a push got no answer");
   else
     ++m.bump;
   const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report);
--- a/src/share/share_controller_progress.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -1,5 +1,5 @@
-// An owner's part in the state service: rows of finished tasks, read after a takeover and written as they
-// come.
+// ShareController: the share's progress rows in the state service, which list finished tasks. They are read
+// after a takeover and written as tasks finish.
 #include <algorithm>
 #include <charconv>
 #include <tuple>
@@ -21,8 +21,8 @@
                                 std::uint64_t version) {
   auto it = view_.jobs.find(job);
   if (it == view_.jobs.end()) {
-    // Its record may be on its way to us, or it waits for others by records that lag: the row is read only
-    // now.
+    // The job's record may not have arrived yet, or the job seems to wait for others because the known
+    // records are out of date. The row is kept because it is not read again.
     const JobRecord* record = lookup_job_(job);
     if (!record || !record->final()) rows_of_unplanned_jobs_[job][row] = {text, version};
     return;
@@ -37,9 +37,10 @@
   complete_gang(j);
 }
 
-/// Rows that hold up a machine come first: one that is about to be taken takes its results with it, one that
-/// is empty is paid for until they are recorded. Then most unrecorded results first: in the order of names
-/// some jobs would never have their turn.
+/// Rows that keep a machine from leaving come first. When the cloud takes back a machine, its unrecorded
+/// results are lost with it; an empty machine has to be paid for until its results are recorded. After that,
+/// jobs with the most unrecorded results come first; in the order of their names, some jobs would never get a
+/// turn.
 std::vector<ShareController::DoneWrite> ShareController::take_done_writes(std::size_t max_writes,
                                                                           Micros now) {
   std::vector<DoneWrite> out;
@@ -69,10 +70,11 @@
   return out;
 }
 
-/// The row that holds the unit, unless a write of it is under way.
+/// Appends a write of the row that holds the unit, unless a write of that row is in flight.
 void ShareController::append_row_write(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out) {
-  // A whole chunk while its text fits a value, as all versions read it; after that unit by unit, and the
-  // chunk's row stays as it is: shortened, it would lose what it alone holds.
+  // A whole chunk is written as long as its text fits into one value, because all versions read chunk rows.
+  // After that, each unit gets its own row and the chunk's row is left as it is: shortening it would lose the
+  // results that only it records.
   const std::uint32_t chunk = unit / DoneSet::kUnitsInChunk;
   std::string text = j.done.chunk_text(chunk);
   const bool as_chunk = text.size() + 2 <= platform_.value_room();
@@ -86,6 +88,7 @@
   j.dirty.erase(j.dirty.lower_bound(first), j.dirty.lower_bound(end));
 }
 
+/// Returns whether every controller that may take over the share would read that the task is done.
 bool ShareController::durably_recorded(const Job& j, std::uint32_t index) const {
   return j.recorded_whole.test(index) || (all_controllers_read_units_ && j.recorded.test(index));
 }
--- a/src/share/share_controller_queries.cpp
+++ b/src/share/share_controller_queries.cpp
@@ -1,4 +1,5 @@
-// What an owner tells others: a job's tally, waiting work and machines for the leader, everything for traces.
+// ShareController: read-only queries. A job's task counts, waiting work and machine states for the leader,
+// and a list of all attempts for trace tests.
 #include <algorithm>
 
 #include "share/share_controller.h"
@@ -10,7 +11,7 @@
 
 namespace {
 constexpr std::size_t kMaxDemands = 64;
-constexpr std::size_t kMaxExtraStarvedDemands = 8;  // more, of those that wait for too long
+constexpr std::size_t kMaxExtraStarvedDemands = 8;  // beyond kMaxDemands, for jobs that have waited too long
 }  // namespace
 
 std::optional<std::pair<std::uint32_t, std::uint32_t>> ShareController::task_counts(
@@ -77,7 +78,8 @@
     d.one_zone = j->spec->one_zone;
     d.excludes_gpu_machines = placement_.await_plain(*j, now);
     d.starved = j->passed_over, d.accepts_any_machine = j->any_room;
-    // Jobs that are alike are told as one: with ninety services waiting the rest would not be heard of.
+    // Services with the same requirements are merged into one demand: ninety waiting services would otherwise
+    // fill the list, and the leader would not learn of the rest.
     if (d.shape == wire::Shape::service) {
       auto same = std::find_if(out.begin(), out.end(), [&](const Demand& o) {
         return o.shape == d.shape && o.need == d.need && o.type_mask == d.type_mask && o.zone == d.zone &&
@@ -93,7 +95,8 @@
     }
     out.push_back(d);
   }
-  // What runs of low arrays that have nothing waiting: its machines are free for others soon.
+  // One demand without waiting tasks for the running tasks of low-rank array jobs that have none waiting:
+  // their machines will soon be free for other work.
   Demand busy;
   for (const auto& [id, j] : view_.jobs) {
     if (j->spec->shape != Shape::array || j->rank >= Rank::high || j->waiting() > 0) continue;
@@ -119,12 +122,13 @@
     s.usable = m.up && m.accounted && !m.leaving && !m.taken_at && !s.suspect && m.drain_until <= now &&
                !m.hearing.in_doubt() && m.unattributed == 0;
     s.empty = release_refusal(m) == ReleaseRefusal::none;
-    // What reports but hears nothing is as good as gone, once nothing can be on it.
+    // A machine whose reports arrive but that receives nothing from us counts as lost as well, once a lease
+    // has passed and no attempt can be left on it.
     s.lapsed = m.accounted && (!m.up || m.hearing.doubted_for(now) > platform_.worker_lease);
     s.idle_ms =
         static_cast<std::uint32_t>(std::clamp<Micros>((now - m.idle_since) / kMillisecond, 0, 3'600'000));
     if (!m.tasks.empty()) s.idle_ms = 0;
-    if (m.type && placement_.gpu_wanted(m.type_index)) {  // idle while no GPU task is there
+    if (m.type && placement_.gpu_wanted(m.type_index)) {  // counts as idle while no GPU task is on it
       s.idle_ms = m.load().gpus ? 0
                                 : static_cast<std::uint32_t>(std::clamp<Micros>(
                                       (now - m.gpu_idle_since) / kMillisecond, 0, 3'600'000));
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -1,5 +1,5 @@
-// What a worker's report tells: which attempts are there, which have ended and why, and whether the machine
-// is accounted for.
+// ShareController: handling of worker reports. They show which attempts are on the machine, which have ended
+// and why, and whether the machine is accounted for.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -15,12 +15,13 @@
 using wire::WorkerReport;
 
 namespace {
-constexpr int kMaxUnreceivedAnswers = 2;  // answers that did not arrive, where pushes may do
+constexpr int kMaxUnreceivedAnswers = 2;  // consecutive lost answers, if pushes may arrive
 }  // namespace
 
-/// A worker has one report in flight and drops answers to any other, and to those of earlier sessions. One
-/// that the answer to a push overtook is still waited for: its answer renews the lease, so it has to count,
-/// or the machine's tasks are started elsewhere while they still run there.
+/// A worker has one report in flight and drops answers to any other report, or to one of an earlier session.
+/// A report that was overtaken by the answer to a push is still in flight: the worker takes our answer to it
+/// as a renewal of its lease. So that answer must extend the lease here too, or the machine's tasks would be
+/// started elsewhere while they still run there.
 ShareController::ReportFreshness ShareController::freshness_of(const Machine& m, const WorkerReport& r) {
   if (std::pair{r.session, r.seq} > std::pair{m.session, m.seq}) return ReportFreshness::newest;
   const bool waited_for = r.session == m.session && r.seq > m.report_seq;
@@ -32,9 +33,10 @@
   auto it = view_.machines.find(r.machine);
   if (it == view_.machines.end()) return {};
   Machine& m = it->second;
-  // A worker that has seen a higher token has another owner: our answer would be dropped.
+  // A worker that has seen a higher token has another owner and would drop our answer.
   if (r.token > current_token(m)) return {};
-  // Late or repeated reports (held packets) must not undo newer ones. Nobody waits for the answer to a copy.
+  // Late or repeated reports (delayed packets) must not undo newer ones. No worker waits for the answer to an
+  // obsolete report.
   const ReportFreshness freshness = freshness_of(m, r);
   if (freshness == ReportFreshness::obsolete) return ReportAnswer{current_token(m), {}};
   if (freshness == ReportFreshness::newest) {
@@ -42,17 +44,18 @@
     apply_report(m, r, true, now);
   }
   m.report_seq = r.seq;
-  // Our answers don't reach it, nor do pushes: each further one would only put off the moment from which its
-  // lease has surely lapsed, and what may be on it would hold up the share for as long as it reports.
+  // If neither our answers nor pushes reach the worker, each further answer would only postpone the time at
+  // which its lease has certainly expired. The attempts that may be on the machine would then block the share
+  // for as long as the worker reports.
   const int max_unreceived = m.pushes_lost >= kMaxLostPushes ? 1 : kMaxUnreceivedAnswers;
   if (!m.accounted && m.hearing.in_vain() >= max_unreceived) return {};
   m.hearing.answered();
-  // Never sooner than before: a copy of an old report may come in the seconds in which the former owner, cut
-  // off, still answers the worker itself.
+  // The end of the lease never moves to an earlier time: a copy of an old report may arrive in the seconds in
+  // which the former owner, cut off from the state service, still answers the worker itself.
   m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
   if (freshness == ReportFreshness::overtaken) return ReportAnswer{current_token(m), {}};
   auto orders = take_orders(m, false, r.seq, owner_refusal, now);
-  return ReportAnswer{current_token(m), std::move(orders)};  // the orders may take a higher token
+  return ReportAnswer{current_token(m), std::move(orders)};  // taking the orders may have raised the token
 }
 
 bool ShareController::apply_report(Machine& m, const WorkerReport& r, bool own_report, Micros now) {
@@ -62,12 +65,13 @@
     const bool answers_lost =
         m.session != 0 && m.accounted && m.up && now - answered < platform_.worker_lease;
     if (m.session != 0) drop_all_attempts(m, now, Freed::new_session);
-    // A session's lease runs from its beginning, with no report answered: seen through a push, it may have
-    // begun just now, and what we start in it lives that long. Before a machine is accounted for we start
-    // nothing, and its former owner knew no session that began after it.
+    // A session's lease starts with the session, before any report is answered. If the session became known
+    // through a push, it may have begun just now, and an attempt that we start in it lives for that lease.
+    // Before a machine is accounted for we start nothing on it, and its former owner knew no session that
+    // began later.
     if (m.accounted) m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
-    // A session ends when no answer arrives for a lease, and by our book some did.
-    if (answers_lost) doubt_delivery(m, now, "its session ended between our answers");
+    // A session ends when the worker gets no answer for the length of a lease, although we sent some.
+    if (answers_lost) doubt_delivery(m, now, "its session ended although answers were sent");
     m.report_seq = 0;
   }
   m.session = r.session;
@@ -79,7 +83,7 @@
   m.record.address = r.address;
   if (r.notice && !m.taken_at) {
     m.taken_at = now + *r.notice;
-    spdlog::info("machine {} will be taken in {:.1f} s", m.record.id, to_seconds(*r.notice));
+    spdlog::info("machine {}: the cloud takes it back in {:.1f} s", m.record.id, to_seconds(*r.notice));
   }
   m.forgets.clear();
   const auto results_before = std::exchange(m.results, {});
@@ -93,7 +97,8 @@
     TaskKey key{t.job, t.index};
     auto p = m.tasks.find(key);
     if (p != m.tasks.end() && p->second.attempt != t.attempt) {
-      // The machine holds another attempt than the one we meant: what it holds is the truth.
+      // The machine holds a different attempt than the one listed here: the machine's report takes
+      // precedence.
       if (p->second.phase == Phase::assigned || t.attempt > p->second.attempt)
         view_.drop(m, p, now, Freed::replaced);
       p = m.tasks.find(key);
@@ -116,7 +121,7 @@
     p->second.phase = t.state == TaskState::running ? Phase::running : Phase::present;
     p->second.fetching = t.state == TaskState::fetching;
     if (Job* j = p->second.job; j && j->incomplete == t.attempt && !p->second.fetching)
-      view_.halt(p->second, 0);  // it has the image now, see ClusterView::end_attempt
+      view_.halt(p->second, 0);  // the image is there now; see ClusterView::end_attempt
   }
   bool answers_lost = false;
   for (auto p = m.tasks.begin(); p != m.tasks.end();) {
@@ -125,8 +130,8 @@
     if (seen.contains(current->first) || placed.phase == Phase::assigned) continue;
     bool gone = true;
     if (placed.phase == Phase::sent) {
-      // An order in an answer was carried out or dropped before the next report is sent; an order pushed may
-      // still arrive, however late, until the worker has seen a higher token.
+      // The worker executes or drops an order in an answer before it sends its next report. A pushed order
+      // may arrive at any later time, until the worker has seen a higher token.
       gone = placed.by_push ? placed.fence != 0 && r.token >= placed.fence
                             : own_report && r.seq > placed.answer_seq;
       answers_lost |= gone && !placed.by_push && placed.answer_seq != 0;
@@ -136,7 +141,7 @@
   if (answers_lost) doubt_delivery(m, now, "an answer did not arrive");
   if (!m.accounted && r.token >= min_token(m)) {
     m.accounted = true;
-    m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));  // of this session, as above
+    m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));  // the lease of this session, see above
     view_.gained(m);
     update_rebuilt(now);
   }
@@ -151,11 +156,11 @@
   if (t.cause == Cause::done && j && t.index < j->spec->tasks) {
     const bool newly_done = mark_done(*j, t.index);
     if (tracked && (newly_done || j->spec->shape == Shape::gang)) on_task_succeeded(*j, m, p->second, now);
-    // With its last task a job that is over goes from the view, and `j` with it.
+    // Dropping the last attempt of a finished job removes the job from the view, which invalidates `j`.
     if (tracked) view_.drop(m, p, now, Freed::done);
     it = view_.jobs.find(t.job);
     if (it == view_.jobs.end()) return;
-    // An attempt of it elsewhere has nothing left to do.
+    // An attempt of the same task on another machine is no longer needed.
     if (auto a = it->second->active.find(t.index); a != it->second->active.end()) {
       Machine& other = *a->second;
       auto q = other.tasks.find({t.job, t.index});
@@ -174,13 +179,13 @@
     if (t.cause == Cause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
     if (t.cause == Cause::gang_incomplete && j) j->incomplete = t.attempt;
     if (t.cause == Cause::unknown && j) j->not_before = now + 2 * kSecond;
-    spdlog::debug("exited {}/{} try {} on {} cause {}", t.job, t.index, t.attempt, m.record.id,
+    spdlog::debug("exited {}/{} try {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
                   static_cast<int>(t.cause));
     view_.drop(m, p, now, Freed::exited);
   }
 }
 
-/// true: that was not known yet.
+/// Marks a task as done. Returns whether that is new.
 bool ShareController::mark_done(Job& j, std::uint32_t index) {
   if (!j.done.set(index)) return false;
   j.dirty.insert(index / DoneSet::kUnit);
@@ -189,8 +194,9 @@
   return true;
 }
 
-/// A gang completes together: where one task is done, all are. The others' machines may be gone before they
-/// tell it; started without the done one, the rest would wait for it, again and again, and the job never end.
+/// Marks all tasks of a gang as done once one of them is, since a gang completes together. The machines of
+/// the other tasks may be gone before they report it. If those tasks were started again without the one that
+/// is done, they would wait for it each time, and the job would never end.
 void ShareController::complete_gang(Job& j) {
   if (j.spec->shape != Shape::gang || j.done.count() == 0) return;
   for (std::uint32_t i = 0; i < j.spec->tasks; ++i)
@@ -213,12 +219,13 @@
 
 void ShareController::on_task_failed(Job& j, Machine& m, Micros now) {
   ++j.errors;
-  // Not for good: where it is the only machine with room, the job would wait there for ever.
+  // A machine is avoided only for some time: if it is the only one with room, the job would wait forever.
   std::erase_if(j.bad_machines, [&](const auto& bad) { return bad.second <= now; });
   j.bad_machines[m.record.id] = now + settings_.suspect_for;
   m.error_jobs.insert(j.id);
   if (j.bad_machines.size() >= 3) {
-    // It fails wherever it runs: the job is to blame. It backs off, and the machines are cleared of it.
+    // The job fails on every machine, so the job is at fault: it backs off, and its errors no longer count
+    // against the machines.
     j.not_before = now + std::min<Micros>(60 * kSecond, settings_.error_backoff << std::min(j.errors, 5));
     for (const auto& [id, until] : j.bad_machines)
       if (auto it = view_.machines.find(id); it != view_.machines.end()) {
@@ -235,19 +242,20 @@
 
 void ShareController::drop_all_attempts(Machine& m, Micros now, Freed why) {
   if (!m.tasks.empty())
-    spdlog::info("machine {}: {} tasks gone ({})", m.record.id, m.tasks.size(), place::to_string(why));
+    spdlog::info("machine {}: dropped {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
   while (!m.tasks.empty()) view_.drop(m, m.tasks.begin(), now, why);
   m.forgets.clear();
-  m.results.clear();  // the worker has forgotten them with the session
+  m.results.clear();  // the worker loses them with its session
 }
 
-/// Its reports arrive, but what we send seems not to. Under a new token its reports will tell; until then
-/// nothing new is given to it, and what was not sent yet goes elsewhere.
+/// The machine's reports arrive, but our messages to it seem to get lost. Raises its token, so that a report
+/// which shows the new token proves that a message has arrived. Until then nothing is placed on the machine,
+/// and attempts whose orders were not sent yet are placed elsewhere.
 void ShareController::doubt_delivery(Machine& m, Micros now, const char* why) {
   ++m.bump;
   if (!m.hearing.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
   m.hearing.doubt(current_token(m), now);
-  view_.to_order.insert(&m);  // to be asked at once
+  view_.to_order.insert(&m);  // push to it at once, to get a report
   for (auto it = m.tasks.begin(); it != m.tasks.end();) {
     auto current = it++;
     if (current->second.phase == Phase::assigned) view_.drop(m, current, now, Freed::never_sent);
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -1,5 +1,6 @@
-// Results that workers keep: a worker's report is the only durable copy of a result until a row of the state
-// service holds it, so the machine stays in its share, and the worker is not told to forget, until then.
+// ShareController: results that workers keep. Until a progress row in the state service records a task's
+// result, the worker that reports it has the only durable copy. Until then its machine must not leave the
+// share, and the worker is not told to forget the result.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -11,8 +12,9 @@
 using wire::Cause;
 using wire::TaskReport;
 
-/// No row is known to hold the result, nor is its job known to be over. Another share's owner decides what is
-/// recorded of its jobs; we only know which of its rows we have read.
+/// Returns whether the worker has to keep the result: it is in no known progress row, and its job is not
+/// known to have ended. Results of another share's jobs are recorded by that share's owner; of its rows, only
+/// those read so far are known here.
 bool ShareController::result_copy_needed(const TaskKey& task, Micros since) const {
   const auto& [id, index] = task;
   if (auto it = view_.jobs.find(id); it != view_.jobs.end()) {
@@ -21,7 +23,8 @@
   }
   const JobRecord* record = lookup_job_(id);
   if (record && record->final()) return false;
-  // A job that was accepted before its result was reported has a record by then.
+  // If the job was accepted before its result was reported, its record is known once the records are read as
+  // of a later time.
   if (!record) return records_as_of_ <= since;
   const auto recorded = recorded_by_others_.find(id);
   return recorded == recorded_by_others_.end() || !recorded->second.test(index);
@@ -32,8 +35,9 @@
                      [&](const auto& r) { return result_copy_needed(r.first, r.second.since); });
 }
 
-/// What an exited attempt leaves at its worker: a result that may be recorded nowhere is kept, all else is
-/// forgotten.
+/// Decides what happens to an exited attempt at its worker: a result that may not be recorded yet is kept;
+/// for anything else the worker gets an order to forget it. `before`: the results of the report before, which
+/// tell since when a result has been held.
 void ShareController::retain_or_forget_result(Machine& m, const TaskReport& t,
                                               const std::map<TaskKey, HeldResult>& before, Micros now) {
   const TaskKey key{t.job, t.index};
@@ -44,21 +48,22 @@
     return;
   }
   if (t.cause == Cause::done && !view_.jobs.contains(t.job) && lookup_job_(t.job) == nullptr) {
-    spdlog::info("machine {}: the result of {}/{} is forgotten: no such job", m.record.id, t.job, t.index);
+    spdlog::info("machine {}: dropping the result of {}/{}: no such job", m.record.id, t.job, t.index);
     ++attribution_counts_.dropped_results;
   }
   m.forgets.push_back({Order::Verb::forget, t.job, t.index, t.attempt, 0});
 }
 
-/// The one place that decides whether a machine may leave its share: by a move, a return or after a drain.
+/// The only place that decides whether a machine may leave its share, be it to another share, back to the
+/// cloud or after a drain.
 ShareController::ReleaseRefusal ShareController::release_refusal(const Machine& m) const {
   if (!loaded_) return ReleaseRefusal::share_not_loaded;
   if (!m.accounted) return ReleaseRefusal::not_accounted;
   if (!m.tasks.empty()) return ReleaseRefusal::holds_attempts;
   if (m.pushing) return ReleaseRefusal::push_under_way;
   if (m.leaving) return ReleaseRefusal::leaving;
-  // Its next owner, or nobody, would have the only copies: if we end before we have recorded them, the tasks
-  // would run again.
+  // Otherwise the next owner of the machine, or nobody, would have the only copies. If this process ended
+  // before it recorded them, the tasks would run again.
   if (holds_needed_result_copy(m)) return ReleaseRefusal::results_not_recorded;
   return ReleaseRefusal::none;
 }
@@ -75,7 +80,7 @@
 void ShareController::on_chunk_of_other_share(const std::string& job, std::uint32_t chunk,
                                               const std::string& text) {
   const auto chunks = needed_chunks_of_other_shares();
-  // Kept for results that still need it; what else was read goes.
+  // Drops the rows of jobs of which no machine holds a result any more.
   std::erase_if(recorded_by_others_, [&](const auto& known) {
     return std::none_of(view_.all.begin(), view_.all.end(), [&](const Machine* m) {
       const auto r = m->results.lower_bound({known.first, 0});
@@ -87,7 +92,7 @@
   recorded_by_others_.try_emplace(job, record->spec->tasks).first->second.merge_chunk(chunk, text);
 }
 
-/// Measures how long empty machines wait for their results to be recorded.
+/// Measures how long a machine without tasks waits for its results to be recorded.
 void ShareController::measure_result_wait(Machine& m, Micros now) {
   const bool waits = m.tasks.empty() && !m.results.empty() && holds_needed_result_copy(m);
   if (waits && m.results_wait_since == 0) m.results_wait_since = now;
@@ -110,7 +115,8 @@
   return held;
 }
 
-/// By job, of results on machines that are to leave or may be wanted elsewhere.
+/// Returns the urgency of the jobs of which machines hold results that are about to leave or may be needed
+/// elsewhere, by job.
 std::map<std::string, ShareController::WriteUrgency> ShareController::write_urgency_by_job(Micros now) const {
   std::map<std::string, WriteUrgency> urgent;
   for (const Machine* m : view_.all) {
