--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -116,7 +116,7 @@
 /// and the guard lets one of them through.
 void OwnedShares::raise_epoch(int s, OwnedShare& owned) {
   const Micros now = needs_.loop.now();
-  if (owned.controller->attempts() < settings_.attempts_per_epoch || owned.handing_back ||
+  if (owned.controller->attempts_in_epoch() < settings_.attempts_per_epoch || owned.handing_back ||
       !own_.lease_valid(now) || now - owned.raised < kRaiseAgain)
     return;
   owned.raised = now;
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -160,7 +160,7 @@
     for (const auto& m : s.machines) {
       auto rec = records.find(m.id);
       if (rec == records.end() || rec->second.share != s.share) continue;
-      if (m.empty && ((m.lapsed && m.idle_ms * kMillisecond >= settings_.lapsed_after) || m.suspect)) {
+      if (m.empty && ((m.worker_lost && m.idle_ms * kMillisecond >= settings_.lapsed_after) || m.suspect)) {
         plan.actions.emplace_back(Move{m.id, s.share, -1});
         continue;
       }
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -103,7 +103,7 @@
       w.text(m.id);
       w.resources(m.free);
       w.num<std::uint8_t>(
-          static_cast<std::uint8_t>(m.usable | m.empty << 1 | m.lapsed << 2 | m.suspect << 3));
+          static_cast<std::uint8_t>(m.usable | m.empty << 1 | m.worker_lost << 2 | m.suspect << 3));
       w.num<std::uint32_t>(m.idle_ms);
       w.num<std::uint8_t>(static_cast<std::uint8_t>(m.top_rank));
     }
@@ -147,7 +147,7 @@
       m.id = r.text();
       m.free = r.resources();
       const auto f = r.num<std::uint8_t>();
-      m.usable = f & 1, m.empty = f & 2, m.lapsed = f & 4, m.suspect = f & 8;
+      m.usable = f & 1, m.empty = f & 2, m.worker_lost = f & 4, m.suspect = f & 8;
       m.idle_ms = r.num<std::uint32_t>();
       const auto top = r.num<std::uint8_t>();
       if (top > 3) throw BadFrame("bad value");
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -58,9 +58,9 @@
 struct MachineState {
   std::string id;
   Resources free;
-  bool usable = false;  // tasks may be placed on it now
-  bool empty = false;   // may leave the share: holds no attempts and no results that are still needed
-  bool lapsed = false;  // its worker is lost: the lease expired, or orders don't reach it
+  bool usable = false;       // tasks may be placed on it now
+  bool empty = false;        // may leave the share: holds no attempts and no results that are still needed
+  bool worker_lost = false;  // its lease expired, or messages don't reach its worker for longer than a lease
   bool suspect = false;
   std::uint32_t idle_ms = 0;
   wire::Rank top_rank = wire::Rank::low;  // highest rank among its tasks
@@ -226,7 +226,7 @@
   bool has_machine(const std::string& id) const { return view_.machines.contains(id); }
   std::uint64_t epoch() const { return epoch_; }
   /// Number of attempts numbered in this epoch; at place::kAttemptsPerEpoch nothing more is started.
-  std::uint64_t attempts() const { return placement_.attempts(); }
+  std::uint64_t attempts_in_epoch() const { return placement_.attempts(); }
   /// Continues under a higher epoch, which was recorded for this owner without a gap in ownership. An
   /// epoch that is not higher is ignored.
   void raise_epoch(std::uint64_t epoch);
@@ -318,13 +318,13 @@
   std::vector<Micros> start_waits_, result_waits_;
   Micros records_as_of_ = 0;
   AttributionCounts attribution_counts_;  // without the counts of unattributed ones
-  struct ReadRow {
+  struct LoadedRow {
     std::string text;
     std::uint64_t version = 0;
   };
   /// Progress rows of jobs that are not planned yet, by job. They are kept because rows are read only once,
   /// after the takeover.
-  std::map<std::string, std::map<std::uint32_t, ReadRow>> rows_of_unplanned_jobs_;
+  std::map<std::string, std::map<std::uint32_t, LoadedRow>> rows_of_unplanned_jobs_;
   std::map<std::string, DoneSet> recorded_by_others_;  // by job; for needed_chunks_of_other_shares()
   std::array<std::uint64_t, place::kReleaseRefusals> releases_refused_{};
   std::array<std::uint64_t, place::kStartRefusals> refused_starts_{};
--- a/src/share/share_controller_queries.cpp
+++ b/src/share/share_controller_queries.cpp
@@ -124,7 +124,7 @@
     s.empty = release_refusal(m) == ReleaseRefusal::none;
     // A machine whose reports arrive but that receives nothing from us counts as lost as well, once a lease
     // has passed and no attempt can be left on it.
-    s.lapsed = m.accounted && (!m.up || m.hearing.doubted_for(now) > platform_.worker_lease);
+    s.worker_lost = m.accounted && (!m.up || m.hearing.doubted_for(now) > platform_.worker_lease);
     s.idle_ms =
         static_cast<std::uint32_t>(std::clamp<Micros>((now - m.idle_since) / kMillisecond, 0, 3'600'000));
     if (!m.tasks.empty()) s.idle_ms = 0;
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -70,7 +70,7 @@
     // Before a machine is accounted for we start nothing on it, and its former owner knew no session that
     // began later.
     if (m.accounted) m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
-    // A session ends when the worker gets no answer for the length of a lease, although we sent some.
+    // A session ends when no answer arrives for the length of a lease, but answers were sent in that time.
     if (answers_lost) doubt_delivery(m, now, "its session ended although answers were sent");
     m.report_seq = 0;
   }
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -117,7 +117,7 @@
 TEST_F(ProvisionerTest, IdleAndLapsedMachinesGoBack) {
   auto idle = machine("i-000001", 0, 60 * kSecond);
   auto lapsed = machine("i-000002", 0, 20 * kSecond);
-  lapsed.usable = false, lapsed.lapsed = true;
+  lapsed.usable = false, lapsed.worker_lost = true;
   auto busy = machine("i-000003", 0, 0);
   busy.empty = false;
   const auto moves = only<Move>(provisioner_.tick(now_, {{0, true, {}, {idle, lapsed, busy}}}, records_));
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -210,7 +210,7 @@
     } else if (event == "state") {  // as the leader is told
       for (const auto& m : controller_->machine_states(now_))
         out_.push_back(m.id + (m.usable ? " usable" : "") + (m.empty ? " empty" : "") +
-                       (m.lapsed ? " gone" : ""));
+                       (m.worker_lost ? " gone" : ""));
     } else if (event == "release") {
       out_.push_back(controller_->release(words_.at(0), now_) ? "released" : "kept");
     } else {
