--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -18,7 +18,7 @@
     1000;  // takes a few milliseconds, in which lease renewals and reports wait
 constexpr Micros kDefaultStartWithin = 60 * kSecond;
 constexpr Micros kDrainTimeout = 20 * kSecond;
-constexpr Micros kUnreportedLogDelay = 1500 * kMillisecond;  // after a takeover, before it is logged
+constexpr Micros kUnaccountedLogDelay = 1500 * kMillisecond;  // after a takeover, before it is logged
 }  // namespace
 
 std::uint64_t epoch_of_token(std::uint64_t token) { return token >> place::kEpochShift; }
@@ -187,23 +187,22 @@
 }
 
 /// Logs, once per takeover, how many machines keep it from completing, and the first of them.
-void ShareController::log_unreported_machines(Micros now) {
-  if (view_.rebuilt || logged_unreported_machines_ || now - taken_over_at_ < kUnreportedLogDelay) return;
-  logged_unreported_machines_ = true;
-  std::size_t unreported = 0;
+void ShareController::log_unaccounted_machines(Micros now) {
+  if (view_.rebuilt || logged_unaccounted_machines_ || now - taken_over_at_ < kUnaccountedLogDelay) return;
+  logged_unaccounted_machines_ = true;
+  std::size_t unaccounted = 0;
   const Machine* first = nullptr;
   for (const Machine* m : view_.all)
-    if (!m->accounted && !m->handed_empty && ++unreported == 1) first = m;
+    if (!m->accounted && !m->handed_empty && ++unaccounted == 1) first = m;
   if (first)
-    spdlog::info(
-        "share {}: {} of {} machines have not reported since the takeover; the first is {} ({}, {}{})",
-        settings_.share, unreported, view_.machines.size(), first->record.id, first->record.type,
-        first->record.zone, first->spot ? ", spot" : "");
+    spdlog::info("share {}: {} of {} machines not accounted for yet, the first is {} ({}, {}{})",
+                 settings_.share, unaccounted, view_.machines.size(), first->record.id, first->record.type,
+                 first->record.zone, first->spot ? ", spot" : "");
 }
 
 bool ShareController::tick(Micros now, StartRefusal owner_refusal) {
   if (!loaded_) return false;
-  log_unreported_machines(now);
+  log_unaccounted_machines(now);
   resolve_unattributed_attempts(now);
   for (Machine* entry : view_.all) {
     Machine& m = *entry;
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -76,9 +76,8 @@
   std::function<bool(const std::string& team)> owns_team;
 };
 
-/// Plans the jobs of one share for as long as this process owns it. The settings and machine types passed to
-/// the constructor must outlive the controller. All times are in microseconds on the caller's steady clock,
-/// except `time_of_day`.
+/// Plans the jobs of one share for as long as this process owns it. All times are in microseconds on the
+/// caller's steady clock, except `time_of_day`.
 class ShareController {
  public:
   using StartRefusal = place::StartRefusal;
@@ -87,6 +86,7 @@
   using JobLookup = std::function<const JobRecord*(const std::string&)>;
 
   /// `renewable_until`: the latest time at which a former owner may have renewed a worker's lease.
+  /// `platform` and `types` must outlive the controller.
   ShareController(const wire::PlatformSettings& platform, const std::vector<wire::MachineType>& types,
                   ShareControllerSettings settings, JobLookup lookup, std::uint64_t epoch, Micros now,
                   Micros renewable_until);
@@ -211,7 +211,7 @@
   /// them rank below `rank`, otherwise leaves it unchanged. With the lowest rank nothing is stopped, but
   /// nothing more is placed on the machine for a while.
   void drain(const std::string& machine, int to, wire::Rank rank, Micros now);
-  /// Drained machines that may leave now, and the share that each is for.
+  /// Drained machines that may leave now, and the share that each is for (-1: it is given back).
   std::vector<std::pair<std::string, int>> drained_machines() const;
 
   // ---- queries
@@ -287,7 +287,7 @@
   std::vector<Order> take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
                                  StartRefusal owner_refusal, Micros now);
   void update_rebuilt(Micros now);
-  void log_unreported_machines(Micros now);
+  void log_unaccounted_machines(Micros now);
   static void complete_gang(Job& j);
   static void merge_recorded_row(Job& j, std::uint32_t row, const std::string& text);
   bool durably_recorded(const Job& j, std::uint32_t index) const;
@@ -313,7 +313,7 @@
   std::uint64_t epoch_;
   Micros renewable_until_;
   JobLookup lookup_job_;
-  bool loaded_ = false, all_controllers_read_units_ = false, logged_unreported_machines_ = false;
+  bool loaded_ = false, all_controllers_read_units_ = false, logged_unaccounted_machines_ = false;
   Micros taken_over_at_;
   std::vector<Micros> start_waits_, result_waits_;
   Micros records_as_of_ = 0;
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -51,7 +51,7 @@
   if (!m.accounted && m.hearing.in_vain() >= max_unreceived) return {};
   m.hearing.answered();
   // The end of the lease never moves to an earlier time: a copy of an old report may arrive in the seconds in
-  // which the former owner, cut off from the state service, still answers the worker itself.
+  // which the former owner, cut off, still answers the worker itself.
   m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
   if (freshness == ReportFreshness::overtaken) return ReportAnswer{current_token(m), {}};
   auto orders = take_orders(m, false, r.seq, owner_refusal, now);
