--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -56,14 +56,18 @@
   for (const auto& z : platform.zones) zone_ids_.push_back(view_.zone(z));
 }
 
+/// Returns the time by which a worker's lease has certainly expired if it was last renewed by an answer sent
+/// at `answered`.
 Micros ShareController::latest_lease_end(Micros answered) const {
   return answered + static_cast<Micros>(static_cast<double>(platform_.worker_lease) * (1 + kClockDrift)) +
          kLeaseMargin;
 }
 
+/// Returns the lowest token that this owner may use for the machine.
 std::uint64_t ShareController::min_token(const Machine& m) const {
   return std::max(epoch_, m.record.epoch) << place::kEpochShift;
 }
+/// Returns the token that messages to the machine carry now.
 std::uint64_t ShareController::current_token(const Machine& m) const { return min_token(m) + m.bump; }
 
 void ShareController::raise_epoch(std::uint64_t epoch) {
@@ -177,6 +181,7 @@
 
 // ---------------------------------------------------------------- planning
 
+/// Notes and logs when every machine has been accounted for after a takeover.
 void ShareController::update_rebuilt(Micros) {
   if (view_.rebuilt || !loaded_) return;
   for (const auto& [id, m] : view_.machines)
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -58,6 +58,8 @@
   return ReportAnswer{current_token(m), std::move(orders)};  // taking the orders may have raised the token
 }
 
+/// Updates the machine from a report; returns false if the report is not newer than the last one applied.
+/// `own_report`: the worker sent it on its own, not in answer to a push.
 bool ShareController::apply_report(Machine& m, const WorkerReport& r, bool own_report, Micros now) {
   if (std::pair{r.session, r.seq} <= std::pair{m.session, m.seq}) return false;
   if (r.session > m.session) {
@@ -204,6 +206,7 @@
   j.again.clear();
 }
 
+/// Feeds the task's run time to the placement learner.
 void ShareController::on_task_succeeded(Job& j, Machine& m, const Placed& p, Micros now) {
   m.error_jobs.clear();
   if (p.run_since == 0 || j.spec->shape == Shape::service) return;
@@ -217,6 +220,7 @@
                   placement_.rnn().threshold(), placement_.rnn().q(m.neuron));
 }
 
+/// Counts an error against the job and the machine, and decides which of the two is at fault.
 void ShareController::on_task_failed(Job& j, Machine& m, Micros now) {
   ++j.errors;
   // A machine is avoided only for some time: if it is the only one with room, the job would wait forever.
@@ -240,6 +244,7 @@
   }
 }
 
+/// Drops all attempts and results of a machine whose worker has certainly lost them.
 void ShareController::drop_all_attempts(Machine& m, Micros now, Freed why) {
   if (!m.tasks.empty())
     spdlog::info("machine {}: dropped {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
