--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -206,7 +206,7 @@
   j.again.clear();
 }
 
-/// Feeds the task's run time to the placement learner.
+/// Clears the machine's errors and feeds the task's run time to the placement learner.
 void ShareController::on_task_succeeded(Job& j, Machine& m, const Placed& p, Micros now) {
   m.error_jobs.clear();
   if (p.run_since == 0 || j.spec->shape == Shape::service) return;
