--- a/src/share/share_controller_answers.cpp
+++ b/src/share/share_controller_queries.cpp
@@ -1,4 +1,5 @@
-// What an owner tells others: a job's tally, waiting work and machines for the leader, everything for traces.
+// ShareController: read-only queries. A job's task counts, waiting work and machine states for the leader,
+// and a list of all attempts for trace tests.
 #include <algorithm>
 
 #include "share/share_controller.h"
@@ -9,11 +10,12 @@
 using wire::Shape;
 
 namespace {
-constexpr std::size_t kMostDemands = 64;
-constexpr std::size_t kMostPassedOver = 8;  // more, of those that wait for too long
+constexpr std::size_t kMaxDemands = 64;
+constexpr std::size_t kMaxExtraStarvedDemands = 8;  // beyond kMaxDemands, for jobs that have waited too long
 }  // namespace
 
-std::optional<std::pair<std::uint32_t, std::uint32_t>> ShareController::tally(const std::string& id) const {
+std::optional<std::pair<std::uint32_t, std::uint32_t>> ShareController::task_counts(
+    const std::string& id) const {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return {};
   std::uint32_t running = 0;
@@ -24,7 +26,7 @@
   return std::pair{it->second->done.count(), running};
 }
 
-std::size_t ShareController::waiting() const {
+std::size_t ShareController::waiting_tasks() const {
   std::size_t n = 0;
   for (const auto& [id, j] : view_.jobs)
     if (!j->cancelled && !j->finished) n += j->waiting();
@@ -34,7 +36,7 @@
 std::vector<Demand> ShareController::demands(Micros now) const {
   std::vector<Demand> out;
   for (Job* j : placement_.ordered_jobs(now)) {
-    if (out.size() >= kMostDemands && !(j->passed_over && out.size() < kMostDemands + kMostPassedOver))
+    if (out.size() >= kMaxDemands && !(j->passed_over && out.size() < kMaxDemands + kMaxExtraStarvedDemands))
       continue;
     std::int64_t waiting = j->waiting();
     const wire::Team* t = placement_.quota().team(j->spec->team);
@@ -48,20 +50,20 @@
     if (waiting <= 0 || now < j->not_before) continue;
     Demand d;
     d.need = j->spec->need;
-    d.types = 0;
+    d.type_mask = 0;
     for (std::size_t i = 0; i < types_.size() && i < 64; ++i)
-      if (j->kind->first.types[i]) d.types |= 1ULL << i;
+      if (j->kind->first.types[i]) d.type_mask |= 1ULL << i;
     if (j->spec->zone) {
       auto z = std::find(platform_.zones.begin(), platform_.zones.end(), *j->spec->zone);
       d.zone = static_cast<std::uint8_t>(z - platform_.zones.begin());
     }
     if (j->spec->spread || j->spec->one_zone) {
-      d.per_zone = j->spec->spread ? (j->spec->tasks + 1) / 2 : 0;
+      d.max_per_zone = j->spec->spread ? (j->spec->tasks + 1) / 2 : 0;
       for (std::size_t z = 0; z < platform_.zones.size() && z < 32; ++z) {
-        const int n = j->tasks_in(zones_[z]);
+        const int n = j->tasks_in(zone_ids_[z]);
         const bool closed =
-            j->spec->spread ? n >= static_cast<int>(d.per_zone) : !j->active.empty() && n == 0;
-        if (closed) d.closed_zones |= 1U << z;
+            j->spec->spread ? n >= static_cast<int>(d.max_per_zone) : !j->active.empty() && n == 0;
+        if (closed) d.closed_zone_mask |= 1U << z;
       }
     }
     d.rank = placement_.rank_now(*j, now);
@@ -71,26 +73,30 @@
     d.running = static_cast<std::uint32_t>(j->active.size());
     d.slack_ms = static_cast<std::uint32_t>(
         std::clamp<Micros>(placement_.slack(*j, now) / kMillisecond, 0, 3'600'000));
-    d.guess_ms = static_cast<std::uint32_t>(std::clamp(place::Placement::run_time(*j) * 1000, 0.0, 3.6e6));
+    d.estimated_run_ms =
+        static_cast<std::uint32_t>(std::clamp(place::Placement::run_time(*j) * 1000, 0.0, 3.6e6));
     d.one_zone = j->spec->one_zone;
-    d.plain_only = placement_.await_plain(*j, now);
-    d.passed_over = j->passed_over, d.any_room = j->any_room;
-    // Jobs that are alike are told as one: with ninety services waiting the rest would not be heard of.
+    d.excludes_gpu_machines = placement_.await_plain(*j, now);
+    d.starved = j->passed_over, d.accepts_any_machine = j->any_room;
+    // Services with the same requirements are merged into one demand: ninety waiting services would otherwise
+    // fill the list, and the leader would not learn of the rest.
     if (d.shape == wire::Shape::service) {
       auto same = std::find_if(out.begin(), out.end(), [&](const Demand& o) {
-        return o.shape == d.shape && o.need == d.need && o.types == d.types && o.zone == d.zone &&
+        return o.shape == d.shape && o.need == d.need && o.type_mask == d.type_mask && o.zone == d.zone &&
                o.rank == d.rank && o.spot == d.spot && o.one_zone == d.one_zone &&
-               o.plain_only == d.plain_only && o.passed_over == d.passed_over && o.any_room == d.any_room &&
-               o.closed_zones == d.closed_zones && (o.per_zone > 0) == (d.per_zone > 0) && !d.one_zone;
+               o.excludes_gpu_machines == d.excludes_gpu_machines && o.starved == d.starved &&
+               o.accepts_any_machine == d.accepts_any_machine && o.closed_zone_mask == d.closed_zone_mask &&
+               (o.max_per_zone > 0) == (d.max_per_zone > 0) && !d.one_zone;
       });
       if (same != out.end()) {
-        same->waiting += d.waiting, same->running += d.running, same->per_zone += d.per_zone;
+        same->waiting += d.waiting, same->running += d.running, same->max_per_zone += d.max_per_zone;
         continue;
       }
     }
     out.push_back(d);
   }
-  // What runs of low arrays that have nothing waiting: its machines are free for others soon.
+  // One demand without waiting tasks for the running tasks of low-rank array jobs that have none waiting:
+  // their machines will soon be free for other work.
   Demand busy;
   for (const auto& [id, j] : view_.jobs) {
     if (j->spec->shape != Shape::array || j->rank >= Rank::high || j->waiting() > 0) continue;
@@ -107,8 +113,8 @@
 std::vector<MachineState> ShareController::machine_states(Micros now) const {
   std::vector<MachineState> out;
   out.reserve(view_.all.size());
-  for (const Machine* at : view_.all) {
-    const Machine& m = *at;
+  for (const Machine* entry : view_.all) {
+    const Machine& m = *entry;
     MachineState s;
     s.id = m.record.id;
     s.free = m.free;
@@ -116,12 +122,13 @@
     s.usable = m.up && m.accounted && !m.leaving && !m.taken_at && !s.suspect && m.drain_until <= now &&
                !m.hearing.in_doubt() && m.unattributed == 0;
     s.empty = release_refusal(m) == ReleaseRefusal::none;
-    // What reports but hears nothing is as good as gone, once nothing can be on it.
-    s.lapsed = m.accounted && (!m.up || m.hearing.doubted_for(now) > platform_.worker_lease);
+    // A machine whose reports arrive but that receives nothing from us counts as lost as well, once a lease
+    // has passed and no attempt can be left on it.
+    s.worker_lost = m.accounted && (!m.up || m.hearing.doubted_for(now) > platform_.worker_lease);
     s.idle_ms =
         static_cast<std::uint32_t>(std::clamp<Micros>((now - m.idle_since) / kMillisecond, 0, 3'600'000));
     if (!m.tasks.empty()) s.idle_ms = 0;
-    if (m.type && placement_.gpu_wanted(m.type_index)) {  // idle while no GPU task is there
+    if (m.type && placement_.gpu_wanted(m.type_index)) {  // counts as idle while no GPU task is on it
       s.idle_ms = m.load().gpus ? 0
                                 : static_cast<std::uint32_t>(std::clamp<Micros>(
                                       (now - m.gpu_idle_since) / kMillisecond, 0, 3'600'000));
@@ -132,7 +139,7 @@
   return out;
 }
 
-std::vector<std::string> ShareController::describe() const {
+std::vector<std::string> ShareController::describe_attempts() const {
   std::vector<std::string> out;
   static constexpr const char* kPhases[] = {"assigned", "sent", "present", "running"};
   for (const auto& [id, m] : view_.machines)
