--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -260,7 +260,7 @@
 void RentingPass(benchmark::State& state) {
   World w(state.range(0), 5'000);
   std::map<std::string, place::MachineRecord> records;
-  std::vector<share::ShareSaid> shares(5);
+  std::vector<share::ShareReport> shares(5);
   const auto states = w.holder->machine_states(w.now);
   for (int s = 0; s < 5; ++s) shares[static_cast<std::size_t>(s)].share = s;
   shares[0].demands = w.holder->demands(w.now);
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -49,7 +49,7 @@
       peer_service_(platform, needs.incarnation,
                     {loop_, needs.peers, store_, records_, owned_shares_,
                      [this](const std::string& m, int to) { result_writer_.move_machine(m, to); },
-                     [this](const share::StatusTell& t) { job_api_.told(t); }, [this] { poke(); }}),
+                     [this](const share::StatusReply& t) { job_api_.told(t); }, [this] { poke(); }}),
       leader_(platform, ops.renting, records_.types(), records_.machines(),
               {[this] { return loop_.now(); }, needs.http, [this] { return peer_service_.all_shares(); },
                [this](const auto& types) { records_.write_types(types); },
@@ -63,7 +63,7 @@
       worker_api_(platform,
                   {loop_, needs.workers, store_, records_, owned_shares_,
                    [this](const wire::WorkerReport& r) {
-                     return leader_.share_for(r.machine, r.type, owned_shares_.ownership().shares());
+                     return leader_.share_for(r.machine, r.type, owned_shares_.ownership().share_count());
                    },
                    [this](const std::string& m) { leader_.adopted(m); },
                    [this](int share) { return peer_service_.told_owner(share); }, [this] { poke(); }}) {
@@ -112,12 +112,13 @@
   // A common outage leaves nothing better to send users to; a node refused alone, or cut off from the state
   // service and all peers, steps aside: users who stayed with it were told nothing until the cut was over.
   if (!records_.synced()) return x->answer(503, wire::error_body("starting"));
-  if (owned_shares_.ownership().refused_alone(loop_.now()) || owned_shares_.ownership().cut_off(loop_.now()))
+  if (owned_shares_.ownership().only_we_lack_state_service(loop_.now()) ||
+      owned_shares_.ownership().isolated(loop_.now()))
     return x->answer(503, wire::error_body("no state service"));
   x->answer(200, R"({"ready":true})");
 }
 
-void Controller::heard(const share::Frame& frame, const share::Peers::Reply& reply) {
+void Controller::heard(const share::Frame& frame, const share::PeerTransport::Reply& reply) {
   peer_service_.heard(frame, reply);
 }
 
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -15,7 +15,7 @@
 #include "app/worker_api.h"
 #include "net/exchange.h"
 #include "net/loop.h"
-#include "share/peers.h"
+#include "share/peer_transport.h"
 #include "store/client.h"
 
 namespace aspenwick::app {
@@ -29,7 +29,7 @@
     net::Loop& loop;
     net::Requester& http;     // to the state service and the cloud
     net::Requester& workers;  // orders to machines
-    share::Peers& peers;
+    share::PeerTransport& peers;
     std::uint64_t incarnation;  // of this process, drawn at random, not 0
   };
   /// The settings must outlive it; so must what it needs, and the loop must not run on without it.
@@ -40,7 +40,7 @@
   /// A request came in, from a user, a worker or the load balancer; it is answered now or later.
   void asked(const net::ExchangePtr& x);
   /// A frame came from a peer.
-  void heard(const share::Frame& frame, const share::Peers::Reply& reply);
+  void heard(const share::Frame& frame, const share::PeerTransport::Reply& reply);
 
  private:
   void ready(const net::ExchangePtr& x);
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -34,7 +34,7 @@
   cancel(x, id, kCancelTries);
 }
 
-void JobApi::told(const share::StatusTell& t) {
+void JobApi::told(const share::StatusReply& t) {
   auto it = asks_.find(t.request);
   if (it == asks_.end()) return;
   const StatusWait wait = std::move(it->second);
@@ -254,7 +254,7 @@
     if (const auto tally = owned->controller->tally(id)) note_tally(id, *tally);
   } else if (const OwnerKey* key = own.owner(share); key && key->node != platform_.name) {
     const std::uint32_t ask = ++asked_;
-    if (needs_.peers.send(key->node, share::StatusAsk{ask, id})) {
+    if (needs_.peers.send(key->node, share::StatusRequest{ask, id})) {
       asks_[ask] = {x, id};
       needs_.loop.later(kPeerAnswer, [this, ask] {
         auto a = asks_.find(ask);
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -13,7 +13,7 @@
 #include "app/records.h"
 #include "net/exchange.h"
 #include "net/loop.h"
-#include "share/peers.h"
+#include "share/peer_transport.h"
 #include "store/client.h"
 
 namespace aspenwick::app {
@@ -23,7 +23,7 @@
   struct Needs {
     net::Loop& loop;
     store::Client& store;
-    share::Peers& peers;
+    share::PeerTransport& peers;
     Records& records;
     OwnedShares& owned_shares;
     /// Tells the peers, ahead of the watch.
@@ -40,7 +40,7 @@
   void cancel(const net::ExchangePtr& x, const std::string& id);
 
   /// A peer's word on a job of a share that it holds.
-  void told(const share::StatusTell& tell);
+  void told(const share::StatusReply& tell);
   std::uint64_t requests() const { return requests_; }
 
  private:
--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -20,7 +20,7 @@
     std::function<Micros()> now;  // steady clock
     net::Requester& http;
     /// All shares' waiting work and machines, as fresh as is known.
-    std::function<std::vector<share::ShareSaid>()> shares;
+    std::function<std::vector<share::ShareReport>()> shares;
     /// The types were read for the first time and are to be recorded.
     std::function<void(const std::vector<wire::MachineType>&)> found_types;
     std::function<void(const fleet::Move&)> move;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -56,8 +56,9 @@
   const auto peers = net::patiently(
       [&] {
         return std::make_unique<share::PeerLink>(
-            loop.base(), platform,
-            [&](const share::Frame& f, const share::Peers::Reply& reply) { controller->heard(f, reply); });
+            loop.base(), platform, [&](const share::Frame& f, const share::PeerTransport::Reply& reply) {
+              controller->heard(f, reply);
+            });
       },
       kBindTimes, kBindPause);
   const auto server = net::patiently(
@@ -103,7 +104,7 @@
   aspenwick::app::OperatorSettings ops;
   try {
     platform = aspenwick::wire::parse_settings(read_file(config));
-    aspenwick::share::check_time_to_cancel(platform);
+    aspenwick::share::check_cancel_deadline(platform);
     if (!ops_path.empty()) ops = aspenwick::app::read_operator_settings(ops_path);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -13,7 +13,7 @@
 namespace {
 constexpr Micros kLoadAgain = 300 * kMillisecond;
 constexpr Micros kEndAgain = 300 * kMillisecond;
-constexpr Micros kCatchUpAfter = share::kRecordsBound / 2;
+constexpr Micros kCatchUpAfter = share::kMaxRecordsAge / 2;
 }  // namespace
 
 OwnedShares::OwnedShares(const wire::PlatformSettings& platform, const OperatorSettings& settings,
@@ -38,7 +38,7 @@
   if (!revisions_.take(key, row.version)) return;
   if (key.starts_with(kOwner)) {
     const int share = std::stoi(key.substr(kOwner.size()));
-    if (share < 0 || share >= own_.shares()) return;
+    if (share < 0 || share >= own_.share_count()) return;
     const Micros now = needs_.loop.now();
     if (row.removed) return own_.owner_removed(share, now);
     own_.owner_set(share, share::owner_from_json(row.value, row.version), now);
@@ -60,7 +60,7 @@
     const bool due = known ? known->version <= as_of : first;
     if (due && !seen.contains(key)) out.push_back(key);
   };
-  for (int s = 0; s < own_.shares(); ++s) look(kOwner + std::to_string(s), own_.owner(s));
+  for (int s = 0; s < own_.share_count(); ++s) look(kOwner + std::to_string(s), own_.owner(s));
   look(kLeader, own_.leader());
   return out;
 }
@@ -68,7 +68,7 @@
 void OwnedShares::end_if_former(const OwnerKey& key) {
   // Also one that a commit of our former process has put there after we had read all keys: it would keep the
   // share from everybody until its lease is over.
-  if (key.node == platform_.name && !own_.ours(&key)) end_former(key.lease);
+  if (key.node == platform_.name && !own_.is_ours(&key)) end_former(key.lease);
 }
 
 void OwnedShares::end_former(std::uint64_t lease) {
@@ -106,21 +106,22 @@
   for (auto it = owned_.begin(); it != owned_.end();) {
     const OwnerKey* key = own_.owner(it->first);
     OwnedShare& owned = it->second;
-    if (own_.ours(key) && owned.raising == key->epoch && owned.raising != 0) {
+    if (own_.is_ours(key) && owned.raising == key->epoch && owned.raising != 0) {
       spdlog::info("share {}: goes on with epoch {}", it->first, key->epoch);
       owned.epoch = key->epoch, owned.key_version = key->version, owned.raising = 0;
       owned.controller->raise_epoch(key->epoch);
       last_epochs_[it->first] = std::max(last_epochs_[it->first], key->epoch);
     }
-    if (own_.ours(key) && key->epoch == owned.epoch) {
+    if (own_.is_ours(key) && key->epoch == owned.epoch) {
       ++it;
       continue;
     }
     spdlog::info("share {}: no longer held with epoch {}: {}", it->first, owned.epoch, why_not_held(key));
     it = owned_.erase(it);
   }
-  for (int s = 0; s < own_.shares() && !records().types().empty(); ++s)
-    if (const OwnerKey* key = own_.owner(s); own_.ours(key) && !owned_.contains(s)) make_controller(s, *key);
+  for (int s = 0; s < own_.share_count() && !records().types().empty(); ++s)
+    if (const OwnerKey* key = own_.owner(s); own_.is_ours(key) && !owned_.contains(s))
+      make_controller(s, *key);
   const Micros now = needs_.loop.now();
   const auto changed = needs_.records.take_changed_machines();
   for (auto& [share, owned] : owned_) {
@@ -172,10 +173,10 @@
   const Micros now = needs_.loop.now();
   owned.controller = std::make_unique<share::ShareController>(
       platform_, records().types(), hs, [this](const std::string& id) { return records().entry(id); },
-      owned.epoch, now, own_.renewable_until(s, now));
+      owned.epoch, now, own_.former_owners_renew_until(s, now));
   spdlog::info(
       "share {}: held with epoch {}, lease {}, key at revision {}; former owners may renew for {:.1f} s", s,
-      owned.epoch, key.lease, key.version, to_seconds(own_.renewable_until(s, now) - now));
+      owned.epoch, key.lease, key.version, to_seconds(own_.former_owners_renew_until(s, now) - now));
   for (const auto& [id, record] : records().jobs())
     if (!record.final()) job_seen(id, record);
 }
@@ -233,14 +234,14 @@
 }
 
 place::StartRefusal OwnedShares::refusal(OwnedShare& owned) {
-  auto refusal = own_.acting_refusal(needs_.loop.now(), records().read_as_of());
+  auto refusal = own_.action_refusal(needs_.loop.now(), records().read_as_of());
   if (owned.handing_back) refusal = place::StartRefusal::share_handed_over;
   if (refusal != owned.refusal) say_refusal(owned.controller->share(), owned, refusal);
   return refusal;
 }
 
 place::StartRefusal OwnedShares::leading_refusal() const {
-  return own_.acting_refusal(needs_.loop.now(), needs_.store.watched_as_of());
+  return own_.action_refusal(needs_.loop.now(), needs_.store.watched_as_of());
 }
 
 /// What was read when, and whose lease was sure for how long: without it nobody could tell why a start was
@@ -255,7 +256,7 @@
     spdlog::info(
         "share {}: no task is started: {}; records as of {:.3f} s ago, lease {} sure for {:.3f} s, epoch {}",
         s, place::to_string(refusal), to_seconds(now - records().read_as_of()), own_.lease().value_or(0),
-        to_seconds(own_.lease_sure_for(now)), owned.epoch);
+        to_seconds(own_.lease_time_left(now)), owned.epoch);
   if (owned.refusal == place::StartRefusal::none) owned.refused_since = now;
   owned.refusal = refusal;
 }
@@ -267,11 +268,13 @@
   if (acts && needs_.loop.now() - needs_.store.watched_as_of() >= kCatchUpAfter) needs_.store.catch_up();
 }
 
-bool OwnedShares::leading() const { return own_.ours(own_.leader()) && own_.lease_valid(needs_.loop.now()); }
+bool OwnedShares::leading() const {
+  return own_.is_ours(own_.leader()) && own_.lease_valid(needs_.loop.now());
+}
 
-std::vector<share::ShareSaid> OwnedShares::shares_to_tell() const {
+std::vector<share::ShareReport> OwnedShares::shares_to_tell() const {
   const Micros now = needs_.loop.now();
-  std::vector<share::ShareSaid> out;
+  std::vector<share::ShareReport> out;
   for (const auto& [s, owned] : owned_)
     out.push_back({s, owned.controller->rebuilt(), owned.controller->demands(now),
                    owned.controller->machine_states(now)});
@@ -280,7 +283,7 @@
 
 std::vector<std::uint64_t> OwnedShares::taken_epochs() const {
   std::vector<std::uint64_t> out;
-  for (int s = 0; s < own_.shares(); ++s) {
+  for (int s = 0; s < own_.share_count(); ++s) {
     const auto it = tokens_.find(kToken + std::to_string(s));
     out.push_back(it == tokens_.end() ? 0 : it->second.first);
   }
--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -55,8 +55,8 @@
   /// Our former process's row of formats, which is on its lease, read ahead of all else.
   void find_former();
   /// All rows of a full reading are about to be applied, and were.
-  void reading_keys() { own_.reading_keys(); }
-  void keys_read() { own_.keys_read(needs_.loop.now()); }
+  void reading_keys() { own_.key_reread_started(); }
+  void keys_read() { own_.key_reread_finished(needs_.loop.now()); }
   /// Job records are known as of a later moment than before.
   void records_read();
   /// Makes, ends and feeds the shares' controllers as the keys and records now say.
@@ -82,7 +82,7 @@
   /// What keeps us, who lead, from renting, returning and moving machines; the view of the machines counts.
   place::StartRefusal leading_refusal() const;
   /// What peers and the leader are told of our shares.
-  std::vector<share::ShareSaid> shares_to_tell() const;
+  std::vector<share::ShareReport> shares_to_tell() const;
   share::Ownership& ownership() { return own_; }
   const share::Ownership& ownership() const { return own_; }
   /// The highest epoch that anything known to us goes by. What a machine's former owners used was in its
--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -20,7 +20,7 @@
   if (own_.lease() || lease_asked_) return;
   lease_asked_ = true;
   const Micros sent = needs_.loop.now();
-  needs_.store.grant(share::kOwnerLease, [this, sent](int code, std::uint64_t lease) {
+  needs_.store.grant(share::kOwnerLeaseDuration, [this, sent](int code, std::uint64_t lease) {
     lease_asked_ = false;
     if (code != 200) return;
     own_.lease_granted(lease, sent);
@@ -31,7 +31,7 @@
 
 void OwnedShares::renew() {
   const Micros sent = needs_.loop.now();
-  if (!own_.lease() || sent - renewed_ < share::kRenewEvery) return;
+  if (!own_.lease() || sent - renewed_ < share::kLeaseRenewInterval) return;
   renewed_ = sent;
   const std::uint64_t lease = *own_.lease();
   needs_.store.renew(lease, [this, sent, lease](int code) {
@@ -44,8 +44,8 @@
       sync();
       own_lease();
     } else {
-      renewed_ =
-          std::min(renewed_, needs_.loop.now() - share::kRenewEvery + 500 * kMillisecond);  // try again soon
+      renewed_ = std::min(
+          renewed_, needs_.loop.now() - share::kLeaseRenewInterval + 500 * kMillisecond);  // try again soon
     }
   });
 }
@@ -83,7 +83,7 @@
   auto it = owned_.find(s);
   if (it == owned_.end() || it->second.handing_back) return;
   it->second.handing_back = true;
-  spdlog::info("share {}: handed back to {}", s, own_.node_of(s));
+  spdlog::info("share {}: handed back to {}", s, own_.home_node(s));
   remove_key(s, it->second.made, it->second.key_version, false);
 }
 
@@ -145,9 +145,9 @@
   records_read();
   keep_records_fresh();
   if (own_.lease()) needs_.records.announce(*own_.lease());
-  for (const int s : own_.to_take(needs_.loop.now())) take_share(s);
+  for (const int s : own_.shares_to_take(needs_.loop.now())) take_share(s);
   if (own_.take_leader(needs_.loop.now())) take_leader();
-  if (auto s = own_.to_hand_back(needs_.loop.now())) hand_back(*s);
+  if (auto s = own_.share_to_hand_back(needs_.loop.now())) hand_back(*s);
   for (auto& [s, owned] : owned_) {
     raise_epoch(s, owned);
     say_whether_answered(s, owned);
@@ -156,7 +156,7 @@
 
 /// For operators, once each time it changes.
 void OwnedShares::say_whether_answered(int s, OwnedShare& owned) const {
-  auto why = own_.why_not_renewed(s, needs_.loop.now());
+  auto why = own_.renewal_refusal_reason(s, needs_.loop.now());
   if (why.empty() == owned.not_answered.empty()) return;
   if (why.empty())
     spdlog::info("share {}: workers are answered again", s);
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -10,9 +10,9 @@
 #include "app/records.h"
 #include "fleet/provisioner.h"
 #include "net/loop.h"
-#include "share/cancellations.h"
-#include "share/heartbeats.h"
-#include "share/peers.h"
+#include "share/cancellation_broadcast.h"
+#include "share/heartbeat_tracker.h"
+#include "share/peer_transport.h"
 #include "share/pending_confirmations.h"
 #include "store/client.h"
 
@@ -22,12 +22,12 @@
  public:
   struct Needs {
     net::Loop& loop;
-    share::Peers& peers;
+    share::PeerTransport& peers;
     const store::Client& store;
     Records& records;
     OwnedShares& owned_shares;
     std::function<void(const std::string& machine, int to)> move_machine;
-    std::function<void(const share::StatusTell&)> status_told;
+    std::function<void(const share::StatusReply&)> status_told;
     std::function<void()> poke;
   };
   /// `incarnation`: see share::Heartbeats.
@@ -50,9 +50,9 @@
   bool may_confirm(const std::string& job);
   /// We have committed it: the peers are told ahead of the watch.
   void cancelled(const std::string& job);
-  void heard(const share::Frame& frame, const share::Peers::Reply& reply);
+  void heard(const share::Frame& frame, const share::PeerTransport::Reply& reply);
   /// All shares as fresh as is known: ours, and others' as told lately.
-  std::vector<share::ShareSaid> all_shares() const;
+  std::vector<share::ShareReport> all_shares() const;
   /// All shares that are held were told lately, or others have had the time to learn that we lead: a leader
   /// that knows only its own shares would rent what others have to spare.
   bool heard_all() const;
@@ -65,13 +65,13 @@
   struct Told {
     std::string node;
     Micros at = 0;
-    share::ShareSaid said;
+    share::ShareReport said;
   };
   void heard(const share::Gossip& gossip);
-  void heard(const share::ReleaseAsk& ask);
-  void heard(const share::StatusAsk& ask, const share::Peers::Reply& reply);
-  void heard(const share::PlainCancelTell& tell);
-  void heard(const share::CancelTell& tell);
+  void heard(const share::ReleaseRequest& ask);
+  void heard(const share::StatusRequest& ask, const share::PeerTransport::Reply& reply);
+  void heard(const share::LegacyCancelNotice& tell);
+  void heard(const share::CancelNotice& tell);
   void heard(const share::Heartbeat& heartbeat);
   void heartbeat(const std::string& peer);
   void tell_cancellations(const std::string& peer);
@@ -80,8 +80,8 @@
 
   const wire::PlatformSettings& platform_;
   Needs needs_;
-  share::Heartbeats heartbeats_;
-  share::Cancellations cancellations_;
+  share::HeartbeatTracker heartbeats_;
+  share::CancellationBroadcast cancellations_;
   share::PendingConfirmations confirmations_;
   std::map<int, Told> said_;                             // by share, the last word of whoever held it
   std::map<int, std::pair<std::string, Micros>> holds_;  // who said that it holds it, and when
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -40,7 +40,7 @@
 /// keep the results. A finished job's own record says it all.
 void ResultWriter::write_done() {
   const Micros t = needs_.loop.now();
-  const auto shares = static_cast<double>(needs_.owned_shares.ownership().shares());
+  const auto shares = static_cast<double>(needs_.owned_shares.ownership().share_count());
   const double pace = platform_.state_write_rps * kProgressPart / shares *
                       static_cast<double>(needs_.owned_shares.all().size());
   progress_level_ = std::min(std::max(2.0, 2 * pace), progress_level_ + to_seconds(t - last_done_) * pace);
@@ -205,7 +205,7 @@
 
 void ResultWriter::move_machine(const std::string& machine, int to) {
   const auto* known = needs_.records.machine(machine);
-  if (!known || to >= needs_.owned_shares.ownership().shares() || to == known->share) return;
+  if (!known || to >= needs_.owned_shares.ownership().share_count() || to == known->share) return;
   OwnedShares::OwnedShare* owned = needs_.owned_shares.find(known->share);
   if (!owned || needs_.owned_shares.refusal(*owned) != place::StartRefusal::none || moving_.contains(machine))
     return;
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -40,11 +40,11 @@
   const int share = machine->share;
   const OwnerKey* key = own.owner(share);
   if (share < 0 || !key) return refuse(x, share, "", "no owner");
-  if (!own.ours(key)) return refuse(x, share, key->node, "not yet");
+  if (!own.is_ours(key)) return refuse(x, share, key->node, "not yet");
   OwnedShares::OwnedShare* owned = needs_.owned_shares.find(share);
   if (!owned || owned->handing_back) return x->answer(503, wire::error_body("not yet"));
   const Micros now = needs_.loop.now();
-  if (!own.may_renew_workers(share, now)) return refuse(x, share, "", "no right to act");
+  if (!own.may_renew_worker_leases(share, now)) return refuse(x, share, "", "no right to act");
   const auto told = owned->controller->on_report(r, now, needs_.owned_shares.refusal(*owned));
   if (!told) return x->answer(503, wire::error_body("no right to act"));
   x->answer(200, wire::report_answer(told->token, told->orders));
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -145,7 +145,7 @@
   if (!gone.machines.empty()) plan.actions.emplace_back(gone);
 }
 
-void Provisioner::gather(Plan& plan, const std::vector<ShareSaid>& shares,
+void Provisioner::gather(Plan& plan, const std::vector<ShareReport>& shares,
                          const std::map<std::string, MachineRecord>& records) {
   gpu_wanted_.resize(types_.size());
   for (const auto& s : shares)
@@ -212,7 +212,7 @@
   });
 }
 
-std::vector<Action> Provisioner::tick(Micros now, const std::vector<ShareSaid>& shares,
+std::vector<Action> Provisioner::tick(Micros now, const std::vector<ShareReport>& shares,
                                       const std::map<std::string, MachineRecord>& records) {
   Plan plan;
   plan.now = now;
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -12,7 +12,7 @@
 namespace aspenwick::fleet {
 
 using share::MachineRecord;
-using share::ShareSaid;
+using share::ShareReport;
 
 struct RenterSettings {
   Micros idle_after = 40 * kSecond;           // an empty machine goes back
@@ -75,7 +75,7 @@
   void deleted(const std::vector<std::string>& ids, bool ok, Micros now);
   void prices(const std::vector<wire::MachineType>& current);
 
-  std::vector<Action> tick(Micros now, const std::vector<ShareSaid>& shares,
+  std::vector<Action> tick(Micros now, const std::vector<ShareReport>& shares,
                            const std::map<std::string, MachineRecord>& records);
   /// The share that a machine which reports without a record should join.
   int share_for(const std::string& machine, const std::string& type, int shares);
@@ -143,7 +143,7 @@
   };
 
   void condemn_lost(Plan& plan, const std::map<std::string, MachineRecord>& records);
-  void gather(Plan& plan, const std::vector<ShareSaid>& shares,
+  void gather(Plan& plan, const std::vector<ShareReport>& shares,
               const std::map<std::string, MachineRecord>& records);
   void serve(Plan& plan, Want& w);
   void serve_gang(Plan& plan, Want& w);
--- a/src/share/heartbeats.h
+++ b/src/share/heartbeat_tracker.h
@@ -14,39 +14,39 @@
 
 namespace aspenwick::share {
 
-class Heartbeats {
+class HeartbeatTracker {
  public:
   /// `incarnation`: drawn at random for each process, not 0.
-  Heartbeats(std::string node, std::uint64_t incarnation)
+  HeartbeatTracker(std::string node, std::uint64_t incarnation)
       : node_(std::move(node)), incarnation_(incarnation) {}
 
   /// What we say of ourselves to a peer, now; of the cancellations the caller tells.
-  Heartbeat to(const std::string& peer, const PeerState& ours, Micros now) const;
-  struct Heard {
-    /// `at`: by our clock, surely not after it was said; `since` told too, `knows_all` not. None: it proves
-    /// nothing.
+  Heartbeat message_for(const std::string& peer, const PeerState& ours, Micros now) const;
+  struct Reception {
+    /// `at`: by our clock, surely not after it was said; `since` told too, `all_cancellations_known` not.
+    /// None: it proves nothing.
     std::optional<PeerState> state;
-    bool answer = false;  // it has nothing of this process yet: an answer at once gives it our stamp
+    bool reply_needed = false;  // it has nothing of this process yet: an answer at once gives it our stamp
   };
-  Heard heard(const Heartbeat& heartbeat, Micros now);
+  Reception heard(const Heartbeat& heartbeat, Micros now);
 
   /// A gossip frame came, which tells whether its sender's version sends heartbeats. true: it may be taken by
   /// its arrival, as the version before means it.
-  bool take_gossip(const Gossip& gossip, Micros now);
+  bool accept_gossip_state(const Gossip& gossip, Micros now);
   /// The peer's process is known to read heartbeats.
-  bool reads(const std::string& peer) const { return read_.contains(peer); }
+  bool reads_heartbeats(const std::string& peer) const { return heartbeat_readers_.contains(peer); }
 
  private:
   struct Peer {
-    std::uint64_t incarnation = 0, stamp = 0;  // of the heartbeat that came last, to be returned
-    Micros since = 0;                          // when a heartbeat of that process came first
-    Micros proven = -1;                        // our stamp in the newest word taken
-    std::uint64_t proven_stamp = 0, proven_incarnation = 0;
+    std::uint64_t incarnation = 0, timestamp = 0;  // of the heartbeat that came last, to be returned
+    Micros first_seen = 0;                         // when a heartbeat of that process came first
+    Micros echoed_at = -1;                         // our stamp in the newest word taken
+    std::uint64_t accepted_timestamp = 0, accepted_incarnation = 0;
   };
   std::string node_;
   std::uint64_t incarnation_;
   std::map<std::string, Peer> peers_;
-  std::set<std::string> read_;
+  std::set<std::string> heartbeat_readers_;
 };
 
 }  // namespace aspenwick::share
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -28,19 +28,19 @@
 
 class Reader {
  public:
-  Reader(const std::string& in, std::size_t at) : in_(in), at_(at) {}
+  Reader(const std::string& in, std::size_t offset) : in_(in), offset_(offset) {}
   template <typename T>
   T num() {
-    if (in_.size() - at_ < sizeof(T)) throw BadFrame("short frame");
+    if (in_.size() - offset_ < sizeof(T)) throw BadFrame("short frame");
     std::uint64_t v = 0;
-    for (std::size_t i = 0; i < sizeof(T); ++i) v = v << 8 | static_cast<unsigned char>(in_[at_++]);
+    for (std::size_t i = 0; i < sizeof(T); ++i) v = v << 8 | static_cast<unsigned char>(in_[offset_++]);
     return static_cast<T>(v);
   }
   std::string text() {
     const std::size_t n = num<std::uint8_t>();
-    if (in_.size() - at_ < n) throw BadFrame("short frame");
-    std::string s = in_.substr(at_, n);
-    at_ += n;
+    if (in_.size() - offset_ < n) throw BadFrame("short frame");
+    std::string s = in_.substr(offset_, n);
+    offset_ += n;
     return s;
   }
   wire::Resources resources() {
@@ -50,33 +50,39 @@
     r.memory = num<std::int64_t>();
     return r;
   }
-  void end() const {
-    if (at_ != in_.size()) throw BadFrame("bytes left over");
+  void expect_end() const {
+    if (offset_ != in_.size()) throw BadFrame("bytes left over");
   }
 
  private:
   const std::string& in_;
-  std::size_t at_;
+  std::size_t offset_;
 };
 
 // 6 was a heartbeat without cancellations, which no version in production has sent.
-enum Type : std::uint8_t {
+enum FrameType : std::uint8_t {
   kGossip = 1,
-  kRelease,
-  kStatusAsk,
-  kStatusTell,
-  kPlainCancel,
+  kReleaseRequest,
+  kStatusRequest,
+  kStatusReply,
+  kLegacyCancelNotice,
   kHeartbeat = 7,
-  kCancel
+  kCancelNotice
 };
 // Bits of a gossip's flags; the version in production reads the first two. 4 was that of heartbeats of
 // type 6.
-enum GossipFlag : std::uint8_t { kStateOk = 1, kSynced = 2, kBrief = 8, kHeartbeats = 16 };
+enum GossipFlag : std::uint8_t {
+  kStateServiceReachable = 1,
+  kSynced = 2,
+  kIdsOnly = 8,
+  kReadsHeartbeats = 16
+};
 
 void write(Writer& w, const Gossip& g) {
   w.text(g.node);
-  w.num<std::uint8_t>(static_cast<std::uint8_t>((g.state_ok ? kStateOk : 0) | (g.synced ? kSynced : 0) |
-                                                (g.brief ? kBrief : 0) | (g.heartbeats ? kHeartbeats : 0)));
+  w.num<std::uint8_t>(static_cast<std::uint8_t>((g.state_service_reachable ? kStateServiceReachable : 0) |
+                                                (g.synced ? kSynced : 0) | (g.ids_only ? kIdsOnly : 0) |
+                                                (g.sender_reads_heartbeats ? kReadsHeartbeats : 0)));
   w.num<std::uint64_t>(g.lease);
   w.num<std::uint8_t>(static_cast<std::uint8_t>(g.shares.size()));
   for (const auto& s : g.shares) {
@@ -114,12 +120,12 @@
   Gossip g;
   g.node = r.text();
   const auto flags = r.num<std::uint8_t>();
-  g.state_ok = flags & kStateOk, g.synced = flags & kSynced;
-  g.brief = flags & kBrief, g.heartbeats = flags & kHeartbeats;
+  g.state_service_reachable = flags & kStateServiceReachable, g.synced = flags & kSynced;
+  g.ids_only = flags & kIdsOnly, g.sender_reads_heartbeats = flags & kReadsHeartbeats;
   g.lease = r.num<std::uint64_t>();
   const auto shares = r.num<std::uint8_t>();
   for (int i = 0; i < shares; ++i) {
-    ShareSaid s;
+    ShareReport s;
     s.share = r.num<std::int16_t>();
     s.rebuilt = r.num<std::uint8_t>() != 0;
     for (int n = r.num<std::uint16_t>(); n > 0; --n) {
@@ -167,38 +173,38 @@
   if (const auto* g = std::get_if<Gossip>(&frame)) {
     type = kGossip;
     write(body, *g);
-  } else if (const auto* a = std::get_if<ReleaseAsk>(&frame)) {
-    type = kRelease;
+  } else if (const auto* a = std::get_if<ReleaseRequest>(&frame)) {
+    type = kReleaseRequest;
     body.text(a->machine);
     body.num<std::int16_t>(static_cast<std::int16_t>(a->to_share));
     body.num<std::uint8_t>(a->drain);
     body.num<std::uint8_t>(static_cast<std::uint8_t>(a->rank));
-  } else if (const auto* s = std::get_if<StatusAsk>(&frame)) {
-    type = kStatusAsk;
+  } else if (const auto* s = std::get_if<StatusRequest>(&frame)) {
+    type = kStatusRequest;
     body.num<std::uint32_t>(s->request);
     body.text(s->job);
-  } else if (const auto* t = std::get_if<StatusTell>(&frame)) {
-    type = kStatusTell;
+  } else if (const auto* t = std::get_if<StatusReply>(&frame)) {
+    type = kStatusReply;
     body.num<std::uint32_t>(t->request);
     body.num<std::uint8_t>(t->known);
     body.num<std::uint32_t>(t->done);
     body.num<std::uint32_t>(t->running);
-  } else if (const auto* w = std::get_if<PlainCancelTell>(&frame)) {
-    type = kPlainCancel;
+  } else if (const auto* w = std::get_if<LegacyCancelNotice>(&frame)) {
+    type = kLegacyCancelNotice;
     body.text(w->job);
   } else if (const auto* b = std::get_if<Heartbeat>(&frame)) {
     type = kHeartbeat;
     body.text(b->node);
-    body.num<std::uint8_t>(static_cast<std::uint8_t>(b->state_ok | b->synced << 1));
-    for (const auto n : {b->lease, b->incarnation, b->stamp, b->echo_incarnation, b->echo_stamp, b->read_to,
-                         b->cancellations, b->had})
+    body.num<std::uint8_t>(static_cast<std::uint8_t>(b->state_service_reachable | b->synced << 1));
+    for (const auto n : {b->lease, b->incarnation, b->timestamp, b->echo_incarnation, b->echo_timestamp,
+                         b->records_read_to, b->highest_cancellation, b->acked_cancellation})
       body.num<std::uint64_t>(n);
-    body.num<std::uint8_t>(static_cast<std::uint8_t>(b->epochs.size()));
-    for (const auto e : b->epochs) body.num<std::uint64_t>(e);
-  } else if (const auto* c = std::get_if<CancelTell>(&frame)) {
-    type = kCancel;
+    body.num<std::uint8_t>(static_cast<std::uint8_t>(b->highest_epochs.size()));
+    for (const auto e : b->highest_epochs) body.num<std::uint64_t>(e);
+  } else if (const auto* c = std::get_if<CancelNotice>(&frame)) {
+    type = kCancelNotice;
     body.text(c->node);
-    for (const auto n : {c->incarnation, c->from, c->upto}) body.num<std::uint64_t>(n);
+    for (const auto n : {c->incarnation, c->after_number, c->last_number}) body.num<std::uint64_t>(n);
     body.num<std::uint16_t>(static_cast<std::uint16_t>(c->jobs.size()));
     for (const auto& j : c->jobs) {
       body.text(j.id);
@@ -216,7 +222,7 @@
 
 std::vector<std::string> encode_gossip(const Gossip& whole) {
   std::string bytes = encode(whole);
-  if (bytes.size() <= kMaxFrame) return {std::move(bytes)};
+  if (bytes.size() <= kMaxFrameSize) return {std::move(bytes)};
   if (whole.shares.empty()) return {};
   std::vector<std::string> out;
   Gossip part = whole;
@@ -239,20 +245,20 @@
   if (r.num<std::uint8_t>() != kFrameVersion) throw BadFrame("wrong version");
   r.num<std::uint8_t>();
   const auto length = r.num<std::uint32_t>();
-  if (length > kMaxFrame) throw BadFrame("frame too long");
-  return kFrameHeader + length;
+  if (length > kMaxFrameSize) throw BadFrame("frame too long");
+  return kFrameHeaderSize + length;
 }
 
 Frame decode(const std::string& frame) {
   if (frame.size() != frame_length(frame)) throw BadFrame("wrong length");
-  Reader r(frame, kFrameHeader);
+  Reader r(frame, kFrameHeaderSize);
   Frame out;
   switch (static_cast<std::uint8_t>(frame[3])) {
     case kGossip:
       out = read_gossip(r);
       break;
-    case kRelease: {
-      ReleaseAsk a;
+    case kReleaseRequest: {
+      ReleaseRequest a;
       a.machine = r.text();
       a.to_share = r.num<std::int16_t>();
       a.drain = r.num<std::uint8_t>() != 0;
@@ -262,15 +268,15 @@
       out = a;
       break;
     }
-    case kStatusAsk: {
-      StatusAsk a;
+    case kStatusRequest: {
+      StatusRequest a;
       a.request = r.num<std::uint32_t>();
       a.job = r.text();
       out = a;
       break;
     }
-    case kStatusTell: {
-      StatusTell t;
+    case kStatusReply: {
+      StatusReply t;
       t.request = r.num<std::uint32_t>();
       t.known = r.num<std::uint8_t>() != 0;
       t.done = r.num<std::uint32_t>();
@@ -278,26 +284,26 @@
       out = t;
       break;
     }
-    case kPlainCancel:
-      out = PlainCancelTell{r.text()};
+    case kLegacyCancelNotice:
+      out = LegacyCancelNotice{r.text()};
       break;
     case kHeartbeat: {
       Heartbeat b;
       b.node = r.text();
       const auto flags = r.num<std::uint8_t>();
-      b.state_ok = flags & 1, b.synced = flags & 2;
-      for (auto* n : {&b.lease, &b.incarnation, &b.stamp, &b.echo_incarnation, &b.echo_stamp, &b.read_to,
-                      &b.cancellations, &b.had})
+      b.state_service_reachable = flags & 1, b.synced = flags & 2;
+      for (auto* n : {&b.lease, &b.incarnation, &b.timestamp, &b.echo_incarnation, &b.echo_timestamp,
+                      &b.records_read_to, &b.highest_cancellation, &b.acked_cancellation})
         *n = r.num<std::uint64_t>();
-      for (int n = r.num<std::uint8_t>(); n > 0; --n) b.epochs.push_back(r.num<std::uint64_t>());
+      for (int n = r.num<std::uint8_t>(); n > 0; --n) b.highest_epochs.push_back(r.num<std::uint64_t>());
       out = std::move(b);
       break;
     }
-    case kCancel: {
-      CancelTell c;
+    case kCancelNotice: {
+      CancelNotice c;
       c.node = r.text();
-      for (auto* n : {&c.incarnation, &c.from, &c.upto}) *n = r.num<std::uint64_t>();
-      if (c.incarnation == 0 || c.from > c.upto) throw BadFrame("bad value");
+      for (auto* n : {&c.incarnation, &c.after_number, &c.last_number}) *n = r.num<std::uint64_t>();
+      if (c.incarnation == 0 || c.after_number > c.last_number) throw BadFrame("bad value");
       for (int n = r.num<std::uint16_t>(); n > 0; --n) {
         std::string id = r.text();
         c.jobs.push_back({std::move(id), r.num<std::uint64_t>()});
@@ -308,7 +314,7 @@
     default:
       throw BadFrame("unknown type");
   }
-  r.end();
+  r.expect_end();
   return out;
 }
 
--- a/src/share/peer_link.cpp
+++ b/src/share/peer_link.cpp
@@ -8,10 +8,10 @@
 
 namespace aspenwick::share {
 namespace {
-constexpr std::size_t kMaxBacklog = 256 * 1024;  // to a peer that does not read
-constexpr int kMaxIncoming = 32;
+constexpr std::size_t kMaxSendBacklog = 256 * 1024;  // to a peer that does not read
+constexpr int kMaxConnections = 32;
 
-sockaddr_in address(const wire::Endpoint& e) {
+sockaddr_in to_sockaddr(const wire::Endpoint& e) {
   sockaddr_in a{};
   a.sin_family = AF_INET;
   a.sin_port = htons(e.port);
@@ -25,7 +25,7 @@
   PeerLink* link;
   bufferevent* bev;
   std::string node;  // empty: accepted
-  bool up = false;
+  bool connected = false;
   ~Connection() { bufferevent_free(bev); }
   explicit Connection(PeerLink* l, bufferevent* b, std::string n) : link(l), bev(b), node(std::move(n)) {}
   Connection(const Connection&) = delete;
@@ -34,101 +34,101 @@
 
 PeerLink::PeerLink(event_base* base, const wire::PlatformSettings& settings, Handler handler)
     : base_(base), handler_(std::move(handler)) {
-  const sockaddr_in a = address(settings.peer_listen);
+  const sockaddr_in a = to_sockaddr(settings.peer_listen);
   listener_ =
       evconnlistener_new_bind(base, &PeerLink::on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 64,
                               reinterpret_cast<const sockaddr*>(&a), sizeof a);
   if (!listener_) throw std::runtime_error("cannot listen on " + settings.peer_listen.text());
-  for (const auto& s : settings.siblings) peers_[s.name] = s.peer;
+  for (const auto& s : settings.siblings) peer_endpoints_[s.name] = s.peer;
 }
 
 PeerLink::~PeerLink() { evconnlistener_free(listener_); }
 
-PeerLink::Connection* PeerLink::add(bufferevent* bev, std::string node) {
+PeerLink::Connection* PeerLink::add_connection(bufferevent* bev, std::string node) {
   auto owned = std::make_unique<Connection>(this, bev, std::move(node));
   Connection* c = owned.get();
-  all_.emplace(c, std::move(owned));
+  connections_.emplace(c, std::move(owned));
   bufferevent_setcb(
       bev,
       [](bufferevent*, void* arg) {
         auto* k = static_cast<Connection*>(arg);
-        k->link->read(*k);
+        k->link->read_frames(*k);
       },
       nullptr,
       [](bufferevent*, short what, void* arg) {
         auto* k = static_cast<Connection*>(arg);
         if (what & BEV_EVENT_CONNECTED)
-          k->up = true;
+          k->connected = true;
         else
-          k->link->drop(k);
+          k->link->drop_connection(k);
       },
       c);
   // A peer that is silent for long is behind a cut: start afresh.
-  const timeval silent{4, 0};
-  bufferevent_set_timeouts(bev, c->node.empty() ? &silent : nullptr, &silent);
+  const timeval idle_timeout{4, 0};
+  bufferevent_set_timeouts(bev, c->node.empty() ? &idle_timeout : nullptr, &idle_timeout);
   bufferevent_enable(bev, EV_READ | EV_WRITE);
   return c;
 }
 
 void PeerLink::on_accept(evconnlistener*, int fd, sockaddr*, int, void* arg) {
   auto* self = static_cast<PeerLink*>(arg);
-  if (self->all_.size() > kMaxIncoming) {
+  if (self->connections_.size() > kMaxConnections) {
     evutil_closesocket(fd);
     return;
   }
-  self->add(bufferevent_socket_new(self->base_, fd, BEV_OPT_CLOSE_ON_FREE), "")->up = true;
+  self->add_connection(bufferevent_socket_new(self->base_, fd, BEV_OPT_CLOSE_ON_FREE), "")->connected = true;
 }
 
 void PeerLink::connect(const std::string& node) {
-  const sockaddr_in a = address(peers_.at(node));
+  const sockaddr_in a = to_sockaddr(peer_endpoints_.at(node));
   bufferevent* bev = bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE);
-  Connection* c = add(bev, node);
-  out_[node] = c;
+  Connection* c = add_connection(bev, node);
+  outgoing_[node] = c;
   if (bufferevent_socket_connect(bev, reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0 &&
-      all_.contains(c))
-    drop(c);
+      connections_.contains(c))
+    drop_connection(c);
 }
 
-void PeerLink::drop(Connection* c) {
-  if (auto it = out_.find(c->node); it != out_.end() && it->second == c) out_.erase(it);
-  all_.erase(c);
+void PeerLink::drop_connection(Connection* c) {
+  if (auto it = outgoing_.find(c->node); it != outgoing_.end() && it->second == c) outgoing_.erase(it);
+  connections_.erase(c);
 }
 
-void PeerLink::read(Connection& c) {
+void PeerLink::read_frames(Connection& c) {
   Connection* self = &c;
   evbuffer* in = bufferevent_get_input(c.bev);
-  while (evbuffer_get_length(in) >= kFrameHeader) {
+  while (evbuffer_get_length(in) >= kFrameHeaderSize) {
     try {
-      std::string frame(kFrameHeader, '\0');
-      evbuffer_copyout(in, frame.data(), kFrameHeader);
+      std::string frame(kFrameHeaderSize, '\0');
+      evbuffer_copyout(in, frame.data(), kFrameHeaderSize);
       const std::size_t length = frame_length(frame);
       if (evbuffer_get_length(in) < length) return;
       frame.resize(length);
       evbuffer_remove(in, frame.data(), length);
       handler_(decode(frame), [this, self](const Frame& f) {
-        if (!all_.contains(self)) return;
+        if (!connections_.contains(self)) return;
         const std::string bytes = encode(f);
         bufferevent_write(self->bev, bytes.data(), bytes.size());
       });
-      if (!all_.contains(self)) return;
+      if (!connections_.contains(self)) return;
     } catch (const BadFrame& e) {
       spdlog::error("peer link: {}; connection dropped", e.what());
-      drop(self);
+      drop_connection(self);
       return;
     }
   }
 }
 
 bool PeerLink::send_bytes(const std::string& node, const std::string& bytes) {
-  auto it = out_.find(node);
-  if (it == out_.end()) {
-    if (peers_.contains(node)) connect(node);
+  auto it = outgoing_.find(node);
+  if (it == outgoing_.end()) {
+    if (peer_endpoints_.contains(node)) connect(node);
     return false;
   }
   Connection* c = it->second;
-  if (!c->up) return false;
-  if (evbuffer_get_length(bufferevent_get_output(c->bev)) > kMaxBacklog) {
-    drop(c);
+  if (!c->connected) return false;
+  if (evbuffer_get_length(bufferevent_get_output(c->bev)) > kMaxSendBacklog) {
+    drop_connection(c);
     return false;
   }
   bufferevent_write(c->bev, bytes.data(), bytes.size());
--- a/src/share/peer_link.h
+++ b/src/share/peer_link.h
@@ -9,12 +9,12 @@
 #include <memory>
 #include <string>
 
-#include "share/peers.h"
+#include "share/peer_transport.h"
 #include "wire/settings.h"
 
 namespace aspenwick::share {
 
-class PeerLink : public Peers {
+class PeerLink : public PeerTransport {
  public:
   using Handler = std::function<void(const Frame&, const Reply&)>;
 
@@ -26,17 +26,17 @@
  private:
   struct Connection;
   void connect(const std::string& node);
-  void drop(Connection* c);
-  void read(Connection& c);
+  void drop_connection(Connection* c);
+  void read_frames(Connection& c);
   static void on_accept(evconnlistener*, int fd, sockaddr*, int, void* self);
-  Connection* add(bufferevent* bev, std::string node);
+  Connection* add_connection(bufferevent* bev, std::string node);
 
   event_base* base_;
   Handler handler_;
   evconnlistener* listener_ = nullptr;
-  std::map<std::string, wire::Endpoint> peers_;
-  std::map<std::string, Connection*> out_;
-  std::map<Connection*, std::unique_ptr<Connection>> all_;
+  std::map<std::string, wire::Endpoint> peer_endpoints_;
+  std::map<std::string, Connection*> outgoing_;
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;
 };
 
 }  // namespace aspenwick::share
--- a/src/share/peers.h
+++ b/src/share/peer_transport.h
@@ -7,15 +7,15 @@
 
 namespace aspenwick::share {
 
-class Peers {
+class PeerTransport {
  public:
   /// Sends back to where a frame came from.
   using Reply = std::function<void(const Frame&)>;
 
-  virtual ~Peers() = default;
-  Peers() = default;
-  Peers(const Peers&) = delete;
-  Peers& operator=(const Peers&) = delete;
+  virtual ~PeerTransport() = default;
+  PeerTransport() = default;
+  PeerTransport(const PeerTransport&) = delete;
+  PeerTransport& operator=(const PeerTransport&) = delete;
 
   /// `frame` as encode() or encode_gossip() made it. false: surely not sent; there is no connection now.
   virtual bool send_bytes(const std::string& node, const std::string& frame) = 0;
--- a/src/share/pending_confirmations.h
+++ b/src/share/pending_confirmations.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "share/cancellations.h"
+#include "share/cancellation_broadcast.h"
 #include "share/ownership.h"
 
 namespace aspenwick::share {
@@ -18,29 +18,30 @@
 class PendingConfirmations {
  public:
   /// What an owner sends last on old records arrives within this time, clock drift included.
-  static constexpr Micros kOrderFlight = 500 * kMillisecond;
+  static constexpr Micros kMaxOrderDelay = 500 * kMillisecond;
   /// By the clock of the node that confirms, since it learnt of the cancellation, which was committed by
   /// then.
-  static constexpr Micros kSettledAfter = kRecordsBound + kOrderFlight;
+  static constexpr Micros kConfirmableAfter = kMaxRecordsAge + kMaxOrderDelay;
 
   /// A job is known to be cancelled. `revision`: of its record, 0: not known. `number`: see Cancellations.
-  void learnt(const std::string& job, std::uint64_t revision, std::uint64_t number, Micros now);
+  void add(const std::string& job, std::uint64_t revision, std::uint64_t number, Micros now);
   /// All other nodes that may own the job's share, as of that revision or later.
-  using Owners = std::function<std::vector<std::string>(std::uint64_t revision)>;
+  using OwnerLookup = std::function<std::vector<std::string>(std::uint64_t revision)>;
   /// Users may be told; true for good once it was.
-  bool settled(const std::string& job, const Cancellations& cancellations, const Owners& owners, Micros now);
+  bool confirmable(const std::string& job, const CancellationBroadcast& cancellations,
+                   const OwnerLookup& owners, Micros now);
   std::size_t size() const { return pending_.size(); }
 
  private:
   struct Pending {
     std::uint64_t revision = 0, number = 0;
-    Micros learnt = 0;
+    Micros added_at = 0;
   };
-  static bool known_by_all(const Pending& pending, const Cancellations& cancellations,
+  static bool known_by_all(const Pending& pending, const CancellationBroadcast& cancellations,
                            const std::vector<std::string>& nodes);
 
   std::unordered_map<std::string, Pending> pending_;
-  std::deque<std::pair<Micros, std::string>> by_time_;  // nobody may ask: these are forgotten in time
+  std::deque<std::pair<Micros, std::string>> expiry_queue_;  // nobody may ask: these are forgotten in time
 };
 
 }  // namespace aspenwick::share
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -10,8 +10,8 @@
 
 Gossip full_gossip() {
   Gossip g;
-  g.node = "rig-1", g.state_ok = true, g.lease = 77;
-  ShareSaid s;
+  g.node = "rig-1", g.state_service_reachable = true, g.lease = 77;
+  ShareReport s;
   s.share = 2, s.rebuilt = true;
   Demand d;
   d.need = {4'000'000, 0, 6'200'000}, d.types = 5, d.zone = 1, d.rank = wire::Rank::high, d.spot = true;
@@ -30,34 +30,37 @@
   EXPECT_EQ(encode(g), bytes);
   EXPECT_EQ(g.shares[0].demands[0].waiting, 7U);
   EXPECT_TRUE(g.shares[0].machines[1].suspect);
-  const auto ask = std::get<ReleaseAsk>(decode(encode(ReleaseAsk{"i-7", -1, true, wire::Rank::production})));
+  const auto ask =
+      std::get<ReleaseRequest>(decode(encode(ReleaseRequest{"i-7", -1, true, wire::Rank::production})));
   EXPECT_EQ(ask.to_share, -1);
   EXPECT_TRUE(ask.drain);
-  EXPECT_EQ(std::get<StatusTell>(decode(encode(StatusTell{5, true, 9, 2}))).done, 9U);
+  EXPECT_EQ(std::get<StatusReply>(decode(encode(StatusReply{5, true, 9, 2}))).done, 9U);
 }
 
 TEST(Frame, WhatConfirmsAHolderComesBackAsItWasSent) {
   Heartbeat b;
-  b.node = "rig-1", b.synced = true, b.lease = 7, b.incarnation = 8, b.stamp = 9, b.echo_incarnation = 10;
-  b.echo_stamp = 11, b.read_to = 12, b.cancellations = 13, b.had = 14, b.epochs = {15, 16};
-  const std::string beat = encode(b), tell = encode(CancelTell{"rig-1", 8, 3, 5, {{"j-1", 17}, {"j-2", 18}}});
+  b.node = "rig-1", b.synced = true, b.lease = 7, b.incarnation = 8, b.timestamp = 9, b.echo_incarnation = 10;
+  b.echo_timestamp = 11, b.records_read_to = 12, b.highest_cancellation = 13, b.acked_cancellation = 14,
+  b.highest_epochs = {15, 16};
+  const std::string beat = encode(b),
+                    tell = encode(CancelNotice{"rig-1", 8, 3, 5, {{"j-1", 17}, {"j-2", 18}}});
   const auto back = std::get<Heartbeat>(decode(beat));
   EXPECT_EQ(encode(back), beat);
-  EXPECT_EQ(back.epochs, b.epochs);
-  EXPECT_EQ(back.cancellations, 13U);
-  const auto told = std::get<CancelTell>(decode(tell));
+  EXPECT_EQ(back.highest_epochs, b.highest_epochs);
+  EXPECT_EQ(back.highest_cancellation, 13U);
+  const auto told = std::get<CancelNotice>(decode(tell));
   EXPECT_EQ(encode(told), tell);
   EXPECT_EQ(told.jobs[1].revision, 18U);
   for (const auto& good : {beat, tell})
     for (std::size_t n = 0; n < good.size(); ++n) EXPECT_THROW(decode(good.substr(0, n)), BadFrame);
-  EXPECT_THROW(decode(encode(CancelTell{"rig-1", 8, 6, 5, {}})), BadFrame);
-  EXPECT_THROW(decode(encode(CancelTell{"rig-1", 0, 3, 5, {}})), BadFrame);
+  EXPECT_THROW(decode(encode(CancelNotice{"rig-1", 8, 6, 5, {}})), BadFrame);
+  EXPECT_THROW(decode(encode(CancelNotice{"rig-1", 0, 3, 5, {}})), BadFrame);
 }
 
 TEST(Frame, OneNodeThatHoldsAllStillFits) {
   // At 32 KiB the link dropped whoever held every share of some 400 machines, and its peers took it for dead.
   Gossip g = full_gossip();
-  const ShareSaid one = g.shares[0];
+  const ShareReport one = g.shares[0];
   g.shares.clear();
   for (int s = 0; s < 5; ++s) {
     g.shares.push_back({s, true, std::vector<Demand>(64, one.demands[0]), {}});
@@ -69,7 +72,7 @@
 
 TEST(Frame, BytesAreFixed) {
   // Big-endian, whatever the machine: magic, version, type, length, then the fields.
-  EXPECT_EQ(encode(StatusAsk{0x01020304, "j-1"}),
+  EXPECT_EQ(encode(StatusRequest{0x01020304, "j-1"}),
             std::string("\xA5\xE7\x02\x03\0\0\0\x08\x01\x02\x03\x04\x03j-1", 16));
 }
 
@@ -81,14 +84,14 @@
   version[2] = 9, magic[0] = 0, length[4] = 0x7f, type[3] = 99;
   EXPECT_THROW(decode(version), BadFrame);
   EXPECT_THROW(decode(magic), BadFrame);
-  EXPECT_THROW(frame_length(length.substr(0, kFrameHeader)), BadFrame);
+  EXPECT_THROW(frame_length(length.substr(0, kFrameHeaderSize)), BadFrame);
   EXPECT_THROW(decode(type), BadFrame);
 }
 
 TEST(Frame, GossipThatOneFrameDoesNotHoldGoesInSeveral) {
   // A longer frame makes the peer drop the connection: whoever holds thousands of machines would seem dead.
   Gossip g = full_gossip();
-  const ShareSaid one = g.shares[0];
+  const ShareReport one = g.shares[0];
   EXPECT_EQ(encode_gossip(g), std::vector<std::string>{encode(g)});  // as ever while it fits
   g.shares.clear();
   for (int s = 0; s < 5; ++s) {
@@ -97,10 +100,10 @@
   }
   std::map<int, std::size_t> machines;
   for (const auto& frame : encode_gossip(g)) {
-    EXPECT_LE(frame.size(), kMaxFrame);
+    EXPECT_LE(frame.size(), kMaxFrameSize);
     const auto part = std::get<Gossip>(decode(frame));
     EXPECT_EQ(part.lease, g.lease);
-    EXPECT_EQ(part.state_ok, g.state_ok);
+    EXPECT_EQ(part.state_service_reachable, g.state_service_reachable);
     for (const auto& s : part.shares) machines[s.share] = s.machines.size();
   }
   for (int s = 0; s < 4; ++s) EXPECT_EQ(machines[s], 1000U);
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -65,12 +65,12 @@
   const auto platform = wire::parse_settings(testing::settings_json().dump());
   share::Ownership own(platform);
   constexpr Micros kNow = 1000 * kSecond;
-  EXPECT_EQ(own.acting_refusal(kNow, kNow), StartRefusal::lease_not_valid);
+  EXPECT_EQ(own.action_refusal(kNow, kNow), StartRefusal::lease_not_valid);
   own.lease_granted(7, kNow);
-  EXPECT_EQ(own.acting_refusal(kNow, kNow - share::kRecordsBound), StartRefusal::records_stale);
-  EXPECT_EQ(own.acting_refusal(kNow, kNow - share::kRecordsBound + 1), StartRefusal::none);
+  EXPECT_EQ(own.action_refusal(kNow, kNow - share::kMaxRecordsAge), StartRefusal::records_stale);
+  EXPECT_EQ(own.action_refusal(kNow, kNow - share::kMaxRecordsAge + 1), StartRefusal::none);
   own.lease_renewed(kNow + 100 * kSecond);  // renewed after a pause: the records are as old as they were
-  EXPECT_EQ(own.acting_refusal(kNow + 100 * kSecond, kNow), StartRefusal::records_stale);
+  EXPECT_EQ(own.action_refusal(kNow + 100 * kSecond, kNow), StartRefusal::records_stale);
 }
 
 TEST_F(DecisionTest, NothingStartsOnAMachineThatIsNotAccountedFor) {
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -44,7 +44,7 @@
                 machines,
                 {[this] { return now; }, cloud,
                  [this] {
-                   return std::vector<share::ShareSaid>{{0, true, {waiting}, {}}};
+                   return std::vector<share::ShareReport>{{0, true, {waiting}, {}}};
                  },
                  [this](const auto&) { ++found; }, [](const auto&) {}, [](const auto&) {}}};
   void SetUp() override {
--- a/tests/outside_input_test.cpp
+++ b/tests/outside_input_test.cpp
@@ -111,8 +111,8 @@
   g.node = "a";
   g.shares = {{1, true, {share::Demand{}}, {share::MachineState{}}}};
   for (const share::Frame& f : std::initializer_list<share::Frame>{
-           g, share::ReleaseAsk{"i-1", 2, true, wire::Rank::high}, share::StatusAsk{1, "j-000001"},
-           share::StatusTell{1, true, 2, 3}, share::PlainCancelTell{"j-000001"}})
+           g, share::ReleaseRequest{"i-1", 2, true, wire::Rank::high}, share::StatusRequest{1, "j-000001"},
+           share::StatusReply{1, true, 2, 3}, share::LegacyCancelNotice{"j-000001"}})
     feed(
         share::encode(f), [](const std::string& s) { share::decode(s); }, false);
 }
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -23,7 +23,7 @@
     link_ =
         std::make_unique<PeerLink>(base_, settings_, [this](const Frame& f, const PeerLink::Reply& reply) {
           ++frames_;
-          if (const auto* q = std::get_if<StatusAsk>(&f)) reply(StatusTell{q->request, true, 3, 1});
+          if (const auto* q = std::get_if<StatusRequest>(&f)) reply(StatusReply{q->request, true, 3, 1});
         });
   }
   ~PeerLinkTest() override {
@@ -51,8 +51,8 @@
     return "";
   }
   void expect_served(int fd) {
-    send_all(fd, encode(StatusAsk{7, "j-000001"}));
-    EXPECT_EQ(std::get<StatusTell>(decode(receive(fd))).done, 3U);
+    send_all(fd, encode(StatusRequest{7, "j-000001"}));
+    EXPECT_EQ(std::get<StatusReply>(decode(receive(fd))).done, 3U);
   }
 
   event_base* base_;
@@ -65,11 +65,11 @@
 TEST_F(PeerLinkTest, ABadFrameDropsThatConnectionOnly) {
   const int good = connect_to();
   expect_served(good);
-  std::string magic = encode(StatusAsk{1, "j"}), version = magic, length = magic;
+  std::string magic = encode(StatusRequest{1, "j"}), version = magic, length = magic;
   magic[0] = 'G', version[2] = 99, length[4] = 0x7f;
   // A body that is shorter than its fields: the header says 1 byte.
   std::string fields =
-      magic.substr(0, 3) + encode(StatusAsk{1, "j"}).substr(3, 4) + std::string("\x01", 1) + "x";
+      magic.substr(0, 3) + encode(StatusRequest{1, "j"}).substr(3, 4) + std::string("\x01", 1) + "x";
   fields[0] = '\xA5';
   for (const auto& bad : {magic, version, length, fields}) {
     const int fd = connect_to();
@@ -81,7 +81,7 @@
 
 TEST_F(PeerLinkTest, AFrameMayComeInPieces) {
   const int fd = connect_to(), other = connect_to();
-  const std::string frame = encode(StatusAsk{9, "j-000002"});
+  const std::string frame = encode(StatusRequest{9, "j-000002"});
   for (const char byte : frame.substr(0, frame.size() - 1)) {
     send_all(fd, std::string(1, byte));
     event_base_loop(base_, EVLOOP_NONBLOCK);
@@ -89,7 +89,7 @@
   expect_served(other);  // while the first is not whole yet
   EXPECT_EQ(frames_, 1);
   send_all(fd, frame.substr(frame.size() - 1));
-  EXPECT_EQ(std::get<StatusTell>(decode(receive(fd))).request, 9U);
+  EXPECT_EQ(std::get<StatusReply>(decode(receive(fd))).request, 9U);
 }
 
 }  // namespace
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -55,7 +55,7 @@
 }
 
 TEST_F(ProvisionerTest, ARefusedOfferIsNotAskedAgainAtOnce) {
-  const std::vector<ShareSaid> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
+  const std::vector<ShareReport> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
   const auto first = only<Rent>(provisioner_.tick(now_, said, records_));
   provisioner_.rented(first[0], 503, {}, now_);
   const auto second = only<Rent>(provisioner_.tick(now_, said, records_));
@@ -64,7 +64,7 @@
 }
 
 TEST_F(ProvisionerTest, BootingMachinesCountAsRoomAndStragglersAreDeleted) {
-  const std::vector<ShareSaid> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
+  const std::vector<ShareReport> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
   const auto rent = only<Rent>(provisioner_.tick(now_, said, records_));
   provisioner_.rented(rent[0], 200, {"i-000001"}, now_);
   EXPECT_TRUE(only<Rent>(provisioner_.tick(now_, said, records_)).empty());
@@ -76,7 +76,7 @@
 TEST_F(ProvisionerTest, AShareWithFarMoreWorkInHandGetsMachinesThatRunEmpty) {
   // Machines on which a share's own short work comes and goes are hardly ever empty: without this, a share
   // that was first kept hundreds while thousands of tasks waited in another.
-  ShareSaid rich{0, true, {demand(2, 0, true, wire::Rank::low)}, {}};
+  ShareReport rich{0, true, {demand(2, 0, true, wire::Rank::low)}, {}};
   rich.demands[0].running = 30;
   for (int i = 0; i < 10; ++i) {
     auto m = machine("i-00000" + std::to_string(i), 0, 0);
@@ -85,7 +85,7 @@
     if (i == 0) m.top_rank = wire::Rank::production;
     rich.machines.push_back(m);
   }
-  ShareSaid poor{1, true, {demand(2, 500, true, wire::Rank::low)}, {}};
+  ShareReport poor{1, true, {demand(2, 500, true, wire::Rank::low)}, {}};
   poor.demands[0].running = 10;
   auto moves = only<Move>(provisioner_.tick(now_, {rich, poor}, records_));
   ASSERT_FALSE(moves.empty());
@@ -106,8 +106,8 @@
 }
 
 TEST_F(ProvisionerTest, AnEmptyMachineMovesToWorkThatWaits) {
-  const ShareSaid idle{0, true, {}, {machine("i-000001", 0, 3 * kSecond)}};
-  const ShareSaid busy{1, true, {demand(2, 4, true, wire::Rank::low)}, {}};
+  const ShareReport idle{0, true, {}, {machine("i-000001", 0, 3 * kSecond)}};
+  const ShareReport busy{1, true, {demand(2, 4, true, wire::Rank::low)}, {}};
   const auto actions = provisioner_.tick(now_, {idle, busy}, records_);
   ASSERT_EQ(only<Move>(actions).size(), 1U);
   EXPECT_EQ(only<Move>(actions)[0].to, 1);
@@ -140,7 +140,7 @@
 TEST_F(ProvisionerTest, AGangGetsMachinesOnlyWhereAllOfItFits) {
   // Two machines each in z1 and z2 of another share: a gang of three would get a move every tick and never
   // start.
-  ShareSaid idle{0, true, {}, {}};
+  ShareReport idle{0, true, {}, {}};
   for (const char* id : {"i-000001", "i-000002", "i-000003", "i-000004"})
     idle.machines.push_back(machine(id, 0, 3 * kSecond));
   records_["i-000003"].zone = records_["i-000004"].zone = "z2";
@@ -188,7 +188,7 @@
 TEST_F(ProvisionerTest, LaterWorkUsesTheMachinesOfEarlierWork) {
   // Four jobs of 40 tasks due one after another: 16 slots do all of it in time, earliest first. Each by
   // itself they would want twice as many, on dear machines.
-  ShareSaid said{0, true, {}, {}};
+  ShareReport said{0, true, {}, {}};
   for (std::uint32_t n = 1; n <= 4; ++n) {
     share::Demand d = demand(1, 40, true, wire::Rank::low);
     d.slack_ms = n * 150'000;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -60,9 +60,9 @@
   auto check = [&](double cancel_s) {
     j["params"]["workers"]["cancel_s"] = cancel_s;
     const auto s = wire::parse_settings(j.dump());
-    share::check_time_to_cancel(s);
+    share::check_cancel_deadline(s);
     const share::Ownership own(s);
-    return share::kOwnerLease + own.unconfirmed_bound() + s.worker_lease;
+    return share::kOwnerLeaseDuration + own.max_unconfirmed_renewal() + s.worker_lease;
   };
   for (const double cancel_s : {20.0, 21.5, 28.0, 37.0, 300.0})
     EXPECT_LT(check(cancel_s), from_seconds(cancel_s));
--- a/tests/small_world.cpp
+++ b/tests/small_world.cpp
@@ -32,7 +32,7 @@
 };
 
 /// What a node sends over HTTP, and its frames.
-class SmallWorld::Wire : public net::Requester, public share::Peers {
+class SmallWorld::Wire : public net::Requester, public share::PeerTransport {
  public:
   Wire(SmallWorld& world, std::string node, net::Loop& loop)
       : world_(world), node_(std::move(node)), loop_(loop) {}
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "fixtures.h"
-#include "share/heartbeats.h"
+#include "share/heartbeat_tracker.h"
 #include "share/ownership.h"
 #include "share/share_controller.h"
 
@@ -294,37 +294,39 @@
       own_.records_read(now_);
     } else if (event == "ask") {
       std::string take, back;
-      for (int s : own_.to_take(now_)) take += " " + std::to_string(s);
-      if (auto b = own_.to_hand_back(now_)) back = std::to_string(*b);
+      for (int s : own_.shares_to_take(now_)) take += " " + std::to_string(s);
+      if (auto b = own_.share_to_hand_back(now_)) back = std::to_string(*b);
       out_.push_back(std::string("lease ") + (own_.lease_valid(now_) ? "valid" : "not valid") + ", workers " +
-                     (own_.may_renew_workers(0, now_) ? "renewed" : "not renewed") +
-                     (own_.refused_alone(now_) ? ", refused alone" : "") +
+                     (own_.may_renew_worker_leases(0, now_) ? "renewed" : "not renewed") +
+                     (own_.only_we_lack_state_service(now_) ? ", refused alone" : "") +
                      (take.empty() ? "" : ", take" + take) + (back.empty() ? "" : ", hand back " + back));
     } else if (event == "says") {
-      out_.push_back(own_.has_state(key("answered", "yes") == "yes", now_) ? "has the state service"
-                                                                           : "lacks it");
+      out_.push_back(own_.reports_state_service_reachable(key("answered", "yes") == "yes", now_)
+                         ? "has the state service"
+                         : "lacks it");
     } else if (event == "heartbeat") {
-      out_.push_back("stamp " + seconds(static_cast<Micros>(heartbeats_.to("b", {}, now_).stamp)));
+      out_.push_back("stamp " +
+                     seconds(static_cast<Micros>(heartbeats_.message_for("b", {}, now_).timestamp)));
     } else if (event == "hears") {
       Heartbeat b;
       b.node = words_.at(0);
       b.lease = static_cast<std::uint64_t>(number("lease", 0));
       b.incarnation = static_cast<std::uint64_t>(number("process", 1));
-      b.stamp = static_cast<std::uint64_t>(number("stamp", 1));
+      b.timestamp = static_cast<std::uint64_t>(number("stamp", 1));
       if (keys_.contains("echo")) {
         b.echo_incarnation = static_cast<std::uint64_t>(number("of", kIncarnation));
-        b.echo_stamp = static_cast<std::uint64_t>(kStart + from_seconds(number("echo", 0)));
+        b.echo_timestamp = static_cast<std::uint64_t>(kStart + from_seconds(number("echo", 0)));
       }
       const auto heard = heartbeats_.heard(b, now_);
       if (heard.state) own_.peer_reported(b.node, *heard.state);
-      if (heard.state) out_.push_back("said at " + seconds(heard.state->at));
-      if (heard.answer) out_.push_back("answer at once");
+      if (heard.state) out_.push_back("said at " + seconds(heard.state->reported_at));
+      if (heard.reply_needed) out_.push_back("answer at once");
     } else if (event == "renewable") {
       out_.push_back("for " + std::to_string((renewable_until() - now_) / kSecond) + " s");
     } else if (event == "reading") {
-      own_.reading_keys();
+      own_.key_reread_started();
     } else if (event == "keys_read") {
-      own_.keys_read(now_);
+      own_.key_reread_finished(now_);
     } else {
       return false;
     }
@@ -334,12 +336,12 @@
   /// Of a share, or of one whose only owner so far was this node, and whose key has just gone.
   Micros renewable_until() const {
     if (words_.at(0).find_first_not_of("0123456789") == std::string::npos)
-      return own_.renewable_until(std::stoi(words_.at(0)), now_);
+      return own_.former_owners_renew_until(std::stoi(words_.at(0)), now_);
     Ownership after(own_);
     constexpr int kUnused = 100;
     after.owner_set(kUnused, {words_.at(0), static_cast<std::uint64_t>(number("lease", 0)), 1, 1}, now_);
     after.owner_removed(kUnused, now_);
-    return after.renewable_until(kUnused, now_);
+    return after.former_owners_renew_until(kUnused, now_);
   }
 
   static std::string seconds(Micros at) { return std::to_string((at - kStart) / kSecond); }
@@ -362,7 +364,7 @@
   std::unique_ptr<ShareController> controller_;
   const ShareController* rebuilt_ = nullptr;
   static constexpr std::uint64_t kIncarnation = 3;
-  Heartbeats heartbeats_{"a", kIncarnation};
+  HeartbeatTracker heartbeats_{"a", kIncarnation};
   Ownership own_{platform_};
   std::map<std::string, Micros> peer_since_;
   Micros now_ = 0;
