--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -4,13 +4,15 @@
 
 namespace aspenwick::share {
 namespace {
-constexpr Micros kClockDriftMargin = 100 * kMillisecond;  // 5 s at 0.05% twice, and timer steps
-constexpr Micros kPeerReportMaxAge = 1500 * kMillisecond;
+// Covers two clocks that each drift by 0.05% over a lease of 5 s, and the granularity of timers.
+constexpr Micros kClockDriftMargin = 100 * kMillisecond;
+constexpr Micros kPeerReportMaxAge = 1500 * kMillisecond;  // older reports confirm and contradict nothing
 constexpr Micros kPeerAliveTimeout = 2500 * kMillisecond;
-constexpr Micros kHomeNodeGrace = 1500 * kMillisecond;  // a free share waits this long for its home
-constexpr Micros kHomeReadyTime = 4 * kSecond;
-constexpr Micros kMaxUnconfirmedRenewal = 8 * kSecond;
-constexpr Micros kCancelDeadlineMargin = 3 * kSecond;
+// Unit of the time for which the other nodes leave a free share to its home node.
+constexpr Micros kHomeNodeGrace = 1500 * kMillisecond;
+constexpr Micros kHomeReadyTime = 4 * kSecond;          // a returning home node must be ready for this long
+constexpr Micros kMaxUnconfirmedRenewal = 8 * kSecond;  // upper limit of max_unconfirmed_renewal()
+constexpr Micros kCancelDeadlineMargin = 3 * kSecond;   // kept free in the time allowed for a cancellation
 }  // namespace
 
 wire::Json owner_to_json(const OwnerKey& key) {
@@ -23,9 +25,10 @@
 }
 
 void check_cancel_deadline(const wire::PlatformSettings& platform) {
-  // An owner that nobody reaches renews its workers until its own lease is over, and they go on for one more.
+  // An unreachable owner renews its workers' leases until its own lease expires, and the workers go on for
+  // one more worker lease.
   if (platform.cancel >= kOwnerLeaseDuration + platform.worker_lease + kCancelDeadlineMargin) return;
-  throw wire::Malformed("params.workers.cancel_s: must be at least lease_s and " +
+  throw wire::Malformed("params.workers.cancel_s: must be at least lease_s plus " +
                         std::to_string((kOwnerLeaseDuration + kCancelDeadlineMargin) / kSecond) + " s");
 }
 
@@ -86,20 +89,21 @@
 }
 
 Micros Ownership::max_unconfirmed_renewal() const {
-  // Store lease + this + worker lease stays under the time that a cancellation has.
+  // Owner lease + this + worker lease stay below the time allowed for a cancellation.
   return std::clamp<Micros>(
       platform_.cancel - kOwnerLeaseDuration - platform_.worker_lease - kCancelDeadlineMargin, 0,
       kMaxUnconfirmedRenewal);
 }
 
-/// Beyond our lease, while nobody has the state service: as long as all peers confirm it, or for the bound.
+/// Whether this node may act beyond its lease, while no node reaches the state service: as long as all peers
+/// confirm it, otherwise for max_unconfirmed_renewal() after the lease.
 bool Ownership::may_act_beyond_lease(Micros now,
                                      const std::function<bool(const PeerState&)>& confirms) const {
   bool all_confirm = true;
   for (const auto& s : platform_.siblings) {
     auto it = peers_.find(s.name);
     const bool fresh = it != peers_.end() && now - it->second.reported_at < kPeerReportMaxAge;
-    // A peer that the state service answers may take over soon: yield.
+    // A peer that reaches the state service may take over soon, so stop.
     if (fresh && it->second.state_service_reachable) return false;
     if (!fresh || !confirms(it->second)) all_confirm = false;
   }
@@ -107,24 +111,25 @@
          (now < lease_valid_until_ + max_unconfirmed_renewal() && records_fresh_for_renewal(now));
 }
 
-/// Whoever renews workers without its peers' word read all records so lately that a cancellation it lacks
-/// still has its time: this bound and a worker's lease fit into it. A lease says nothing of what was read.
+/// An owner that renews workers' leases without its peers' confirmation must have read all records recently:
+/// this bound plus a worker's lease fit into the time allowed for a cancellation, so one that the owner
+/// missed still takes effect in time. A valid lease does not show when records were read.
 bool Ownership::records_fresh_for_renewal(Micros now) const {
   return now - records_read_at_ < kOwnerLeaseDuration + kCancelDeadlineMargin + max_unconfirmed_renewal();
 }
 
-/// What keeps a peer that lacks the state service too from confirming an owner; null: nothing. Once it was
-/// cut off from the service alone, an owner must not take a common outage for its right to go on: others may
-/// have confirmed cancellations before it, or taken the share and lost their leases since.
+/// Why a peer that lacks the state service too does not confirm that we may continue; null if it does. An
+/// owner that lost the state service before its peers did must not continue because the outage became common:
+/// before that, peers may have confirmed cancellations, or taken the share and lost their leases since.
 const char* Ownership::confirmation_objection(int share, const PeerState& peer) const {
   const OwnerKey* key = owner(share);
   const auto s = static_cast<std::size_t>(share);
-  if (!is_ours(key)) return "isn't asked, the key is not ours";
-  if (s >= peer.highest_epochs.size()) return "is of a version that doesn't say what it knows";
-  if (peer.highest_epochs[s] > key->epoch) return "knows of a later owner";
-  if (!peer.all_cancellations_known) return "may have told users of cancellations that we don't know";
+  if (!is_ours(key)) return "was not asked, since the owner key is not ours";
+  if (s >= peer.highest_epochs.size()) return "runs an older version that reports no owner epochs";
+  if (peer.highest_epochs[s] > key->epoch) return "knows an owner key with a higher epoch";
+  if (!peer.all_cancellations_known) return "may have confirmed cancellations that we have not received";
   if (peer.alive_since > std::min(lease_confirmed_at_, records_read_at_))
-    return "began after we were last served";
+    return "started after the state service last served us";
   return nullptr;
 }
 
@@ -137,16 +142,16 @@
 
 std::string Ownership::renewal_refusal_reason(int share, Micros now) const {
   if (may_renew_worker_leases(share, now)) return {};
-  if (!lease_) return "our lease has ended";
-  if (now < lease_valid_until_) return "records were read too long ago";
+  if (!lease_) return "this node holds no lease";
+  if (now < lease_valid_until_) return "job records were last read too long ago";
   for (const auto& s : platform_.siblings) {
     const auto it = peers_.find(s.name);
     if (it == peers_.end() || now - it->second.reported_at >= kPeerReportMaxAge)
-      return s.name + " isn't heard";
-    if (it->second.state_service_reachable) return s.name + " has the state service";
+      return s.name + " has not been heard from recently";
+    if (it->second.state_service_reachable) return s.name + " reaches the state service";
     if (const char* why = confirmation_objection(share, it->second)) return s.name + " " + why;
   }
-  return "unknown";
+  return "unknown reason";
 }
 
 bool Ownership::keys_current(Micros now) const {
@@ -177,23 +182,24 @@
   }
 }
 
-/// Who was confirmed by peers went on for as long as a peer's word counts, who wasn't for the bound.
+/// The latest time at which the former owner of a share whose next key appears at `now` may renew a worker's
+/// lease. One that peers confirmed stops once their last reports are kPeerReportMaxAge old, one that they did
+/// not confirm after max_unconfirmed_renewal().
 Micros Ownership::renewal_deadline(Micros now) const {
   return now + std::max(max_unconfirmed_renewal(), kPeerReportMaxAge);
 }
 
 bool Ownership::certainly_stopped(const FormerOwner& former, Micros now) const {
   if (former.node == own_node_)
-    return true;  // our own former process, or ourselves under a lease that is over
+    return true;  // a former process of this node, or this process under a lease that has ended
   const auto peer = peers_.find(former.node);
-  // It lives and says that it no longer goes by that lease.
+  // It is running and reports another lease than the one under which it owned the share.
   return peer != peers_.end() && now - peer->second.reported_at < kPeerReportMaxAge &&
          peer->second.lease != former.lease;
 }
 
-/// Not only the last owner counts: it may have taken the share a moment ago from one that is cut off and goes
-/// on with its workers, and have ended since. All who may still renew are remembered until their time is
-/// over.
+/// Considers all former owners that may still renew, not only the last one: that one may have ended shortly
+/// after taking the share from an owner that is partitioned from the others and still answers its workers.
 Micros Ownership::former_owners_renew_until(int share, Micros now) const {
   Micros until = now;
   const auto formers = former_owners_.find(share);
@@ -224,11 +230,11 @@
     if (owners_.contains(s)) continue;
     auto it = unowned_since_.find(s);
     const Micros unowned_for = it == unowned_since_.end() ? now : now - it->second;
-    // The home takes its share at once; the others wait a little, in turn.
+    // The home node takes its share at once; the others wait, one after the other in name order.
     const int succession_rank = (home_share_ - s + share_count()) % share_count();
-    // Right after our own start a home that we have not heard of is mostly starting too.
-    // One that lives but that the state service does not answer can't take it: waiting for it left four
-    // shares without an owner for 8 s where one node was left that could.
+    // Right after our own start, a home node that we have not heard from is usually starting too.
+    // A home node that is running but does not reach the state service cannot take its share. Waiting for
+    // such nodes left four shares without an owner for 8 s when only one node could take them.
     const auto home = peers_.find(home_node(s));
     const bool home_can_take =
         home != peers_.end() && home->second.state_service_reachable && peer_alive(home_node(s), now);
--- a/src/share/ownership.h
+++ b/src/share/ownership.h
@@ -1,5 +1,5 @@
-// Who holds what: our lease with the state service, the shares' owner keys, the leader key, and what the
-// peers say. Socket-free: fed events and the time.
+// Who owns which share: this node's lease at the state service, the owner keys of the shares, the leader key,
+// and the states that peers report. Opens no sockets: the caller passes in events and the time.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,11 +15,12 @@
 
 inline constexpr Micros kOwnerLeaseDuration = 5 * kSecond;
 inline constexpr Micros kLeaseRenewInterval = 1500 * kMillisecond;
-/// An owner acts only on job records that it knows as of a moment no longer ago. As long as its lease: a
-/// state service too slow for the one is too slow for the other.
+/// Maximum age of the job records that an owner acts on. Equal to the lease duration: a state service that is
+/// too slow for reads is too slow for lease renewals as well.
 inline constexpr Micros kMaxRecordsAge = kOwnerLeaseDuration;
 
-/// The value of owner/<n> and leader.
+/// The value of the keys s/holder/<share> and s/leader. `version` is the revision of the key's last write; it
+/// is not part of the stored value.
 struct OwnerKey {
   std::string node;
   std::uint64_t lease = 0, epoch = 0, version = 0;
@@ -27,44 +28,51 @@
 wire::Json owner_to_json(const OwnerKey& key);
 OwnerKey owner_from_json(const wire::Json& j, std::uint64_t version);
 
-/// What a peer last said of itself.
+/// The latest state that a peer reported of itself.
 struct PeerState {
-  bool state_service_reachable = false, synced = false;
-  std::uint64_t lease = 0;
-  Micros reported_at = 0;  // by our clock: not after it was said
-  // What an owner needs that wants to go on beyond its lease; the version before tells nothing of it.
-  bool all_cancellations_known = false;  // we know all cancellations that it may have told a user of
-  Micros alive_since = 0;  // its process was there at this time, by our clock, and has been ever since
-  std::vector<std::uint64_t> highest_epochs;  // by share: the highest that it knows to be taken
+  bool state_service_reachable = false, synced = false;  // synced: it has read all records and follows them
+  std::uint64_t lease = 0;                               // 0: none
+  // By our clock: a lower bound of when the peer sent the report, or for gossip of the previous version its
+  // arrival.
+  Micros reported_at = 0;
+  // The fields below let an owner continue beyond its lease; the previous version does not report them.
+  // We know every cancellation that the peer may have confirmed to a user.
+  bool all_cancellations_known = false;
+  Micros alive_since = 0;  // by our clock; the peer's process has been running since then or longer
+  std::vector<std::uint64_t> highest_epochs;  // by share: the highest owner epoch that the peer knows of
 };
 
-/// Ends a start whose settings leave less time to cancel than leases may last; throws wire::Malformed.
+/// Throws wire::Malformed if the time allowed for a cancellation is shorter than the leases of an unreachable
+/// owner and its workers can last. Called once, at startup.
 void check_cancel_deadline(const wire::PlatformSettings& platform);
 
+/// Decides what this node may do as an owner or leader. Keeps a reference to `platform`, which must outlive
+/// it. All times are by this node's clock.
 class Ownership {
  public:
   explicit Ownership(const wire::PlatformSettings& platform);
 
-  // ---- our lease; its time counts from sending
+  // ---- this node's lease. Its duration counts from when the request was sent, which is never later than
+  // when the state service started it.
   void lease_granted(std::uint64_t id, Micros sent);
   void lease_renewed(Micros sent);
   void lease_lost();
   std::optional<std::uint64_t> lease() const { return lease_; }
   bool lease_valid(Micros now) const;
-  /// For how long from now on; 0: it isn't.
+  /// The remaining validity of the lease; 0 if it is not valid.
   Micros lease_time_left(Micros now) const { return lease_valid(now) ? lease_valid_until_ - now : 0; }
-  /// The right to act as an owner or leader, judged here only: our lease is surely valid, and what the act
-  /// rests on was read no longer ago than kMaxRecordsAge. A lease renewed after a pause says nothing of what
-  /// happened in it.
+  /// Whether this node may act as an owner or leader; no other code decides this. The lease must be valid for
+  /// certain, and the data that the action is based on (`known_as_of`) must be younger than kMaxRecordsAge:
+  /// after a pause a renewed lease alone does not show what happened during the pause.
   place::StartRefusal action_refusal(Micros now, Micros known_as_of) const;
   /// All job records are known as they were at `sent` or later.
   void records_read(Micros sent) { records_read_at_ = std::max(records_read_at_, sent); }
 
-  // ---- what the state service shows
+  // ---- keys read from the state service
   void owner_set(int share, const OwnerKey& key, Micros now);
   void owner_removed(int share, Micros now);
-  /// All keys are about to be read anew, at the start or after changes that no watch has told; then they
-  /// were. Who owned a share meanwhile is not known.
+  /// Call these before and after reading all keys again, at startup or after changes that the watch did not
+  /// deliver. Shares whose keys changed in between may have had owners that we never saw.
   void key_reread_started();
   void key_reread_finished(Micros now);
   void leader_set(const OwnerKey& key) { leader_ = key; }
@@ -76,51 +84,57 @@
   }
 
   // ---- peers
-  /// `said.at`: when it was said at the earliest, by our clock. An older word never replaces a newer one.
+  /// A report with an older `reported_at` never replaces a newer one.
   void peer_reported(const std::string& node, const PeerState& report);
   bool peer_alive(const std::string& node, Micros now) const;
 
-  /// May reports of a share's workers be answered (which renews their leases)? Beyond our own lease only
-  /// while all peers confirm it: they lack the state service too, were there when it last answered us, know
-  /// of no owner after us and of no cancellation that we don't know. Unconfirmed, for no longer than
-  /// max_unconfirmed_renewal().
+  /// Whether reports of a share's workers may be answered, which renews the workers' leases. Beyond our own
+  /// lease only while all peers confirm it: they lack the state service too, were running when it last served
+  /// us, and know neither a later owner nor a cancellation that we do not know. Without these confirmations,
+  /// for at most max_unconfirmed_renewal() after the lease.
   bool may_renew_worker_leases(int share, Micros now) const;
-  /// Why not, for operators; empty: they may.
+  /// Why may_renew_worker_leases() is false, for the operator's log; empty if it is true.
   std::string renewal_refusal_reason(int share, Micros now) const;
+  /// How long after its lease an owner may renew workers' leases without confirmation by its peers.
   Micros max_unconfirmed_renewal() const;
-  /// Our view of the keys can't be old: our lease is valid, or nobody else seems to have the state service.
+  /// Whether our view of the keys is current: our lease is valid, or no other node seems to reach the state
+  /// service.
   bool keys_current(Micros now) const;
-  /// What we tell peers. While our lease is valid we may take their shares, so we never say that we lack the
-  /// state service then, whatever single calls of ours came to: they would go on renewing their workers.
+  /// Whether we report to peers that we reach the state service. While our lease is valid we may take their
+  /// shares, so we report it as reachable even if single calls failed: otherwise the peers would go on
+  /// renewing their workers' leases.
   bool reports_state_service_reachable(bool store_answered, Micros now) const {
     return store_answered || lease_valid(now);
   }
-  /// The last moment at which anybody who owned the share before its present key may renew a worker's lease;
-  /// `now` if all of them have surely stopped.
+  /// The latest time at which any owner of the share before the present key may renew a worker's lease; `now`
+  /// if all of them have certainly stopped.
   Micros former_owners_renew_until(int share, Micros now) const;
-  /// The state service answers others but not us.
+  /// The state service answers a peer but not us.
   bool only_we_lack_state_service(Micros now) const;
-  /// Neither the state service nor any peer has been heard for so long that we may not even answer workers:
-  /// the others may well go on without us.
+  /// We have heard neither from the state service nor from any peer for so long that we may not even answer
+  /// workers; the other nodes may be working without us.
   bool isolated(Micros now) const;
 
-  /// Shares to try to take now.
+  /// The shares without an owner that this node should try to take now.
   std::vector<int> shares_to_take(Micros now) const;
+  /// Whether this node should try to take the leader key now.
   bool take_leader(Micros now) const;
-  /// A share of ours whose home is back and settled.
+  /// A share that we own and whose home node has been ready for long enough to take it back.
   std::optional<int> share_to_hand_back(Micros now);
 
+  /// The share that belongs to this node whenever it is ready; every node has one.
   int home_share() const { return home_share_; }
   int share_count() const { return static_cast<int>(nodes_.size()); }
   const std::string& home_node(int share) const { return nodes_.at(static_cast<std::size_t>(share)); }
+  /// Teams are assigned to the shares in turn, in name order; 0 for an unknown team.
   int share_of_team(const std::string& team) const;
 
  private:
-  /// Somebody whose key of a share has gone.
+  /// A node that owned a share under a key that is gone.
   struct FormerOwner {
-    std::string node;  // empty: not known
+    std::string node;  // empty: unknown
     std::uint64_t lease = 0;
-    std::optional<Micros> may_renew_until;  // at the latest; not known before the next key is there
+    std::optional<Micros> may_renew_until;  // upper bound; not set until the share's next key is seen
   };
   void add_former_owner(int share, FormerOwner former, Micros now);
   Micros renewal_deadline(Micros now) const;
@@ -131,17 +145,18 @@
 
   const wire::PlatformSettings& platform_;
   std::string own_node_;
-  std::vector<std::string> nodes_;
+  std::vector<std::string> nodes_;  // in name order; the home node of share n is nodes_[n]
   int home_share_ = 0;
   std::optional<std::uint64_t> lease_;
-  Micros lease_valid_until_ = 0, started_at_ = 0;
-  Micros last_lease_valid_until_ = 0;  // the same, after the lease is gone too
-  Micros lease_confirmed_at_ = 0,
-         records_read_at_ = 0;  // the state service knew our lease then; all job records were read then
+  Micros lease_valid_until_ = 0, started_at_ = 0;  // started_at_: when the first lease was requested
+  Micros last_lease_valid_until_ = 0;  // like lease_valid_until_, but kept after the lease is lost
+  // When the state service last confirmed our lease, and as of when all job records were last read.
+  Micros lease_confirmed_at_ = 0, records_read_at_ = 0;
   std::map<int, OwnerKey> owners_;
   std::map<int, Micros> unowned_since_;
-  std::map<int, std::vector<FormerOwner>> former_owners_;  // by share, those that may still renew workers
-  std::map<int, std::uint64_t> versions_before_reread_;    // of the keys, before they were read anew
+  // By share: those that may still renew workers' leases.
+  std::map<int, std::vector<FormerOwner>> former_owners_;
+  std::map<int, std::uint64_t> versions_before_reread_;  // of the owner keys, by share
   std::optional<OwnerKey> leader_;
   Micros no_leader_since_ = 0;
   std::map<std::string, PeerState> peers_;
