--- a/src/share/cancellation_broadcast.cpp
+++ b/src/share/cancellation_broadcast.cpp
@@ -7,8 +7,9 @@
 std::uint64_t CancellationBroadcast::add(const std::string& job, std::uint64_t revision) {
   ++highest_number_;
   recent_.push_back({job, revision});
-  // What all have read, and what is too much to keep. What a peer had may have been had by its former
-  // process.
+  // Drop entries that all peers have read from the state service, and those over kMaxKept. An acknowledgement
+  // does not allow dropping: it may have come from a former process of the peer, and the new one lacks the
+  // entry.
   const auto read_by_all = [&] {
     return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
       return has_read(p.second, recent_.front().revision);
@@ -40,7 +41,7 @@
 
 std::optional<CancelNotice> CancellationBroadcast::message_for(const std::string& peer) const {
   const auto it = peers_.find(peer);
-  // One that has read nothing yet will read all of it, and holds nothing until then.
+  // A peer that has not read the records yet will read all of them, and owns no share until then.
   if (it == peers_.end() || it->second.records_read_to == 0 || it->second.acked >= highest_number_) return {};
   const Peer& p = it->second;
   const std::uint64_t first = highest_number_ - recent_.size() + 1;
@@ -62,7 +63,7 @@
 bool CancellationBroadcast::heard(const CancelNotice& notice) {
   Peer& p = peers_[notice.node];
   if (p.incarnation != notice.incarnation) p.incarnation = notice.incarnation, p.received = 0;
-  if (notice.after_number > p.received) return false;  // some before it are missing
+  if (notice.after_number > p.received) return false;  // some before this notice are missing
   p.received = std::max(p.received, notice.last_number);
   return true;
 }
--- a/src/share/heartbeat_tracker.cpp
+++ b/src/share/heartbeat_tracker.cpp
@@ -2,8 +2,8 @@
 
 namespace aspenwick::share {
 namespace {
-// A peer that has sent heartbeats so lately is not of the version before: gossip that says so is an old one,
-// held up.
+// A peer that has certainly sent a heartbeat within this time does not run the previous version; gossip that
+// says so was sent earlier and delayed.
 constexpr Micros kLegacyGossipDelay = 5 * kSecond;
 }  // namespace
 
@@ -23,8 +23,9 @@
   Reception out;
   heartbeat_readers_.insert(b.node);
   Peer& p = peers_[b.node];
-  // Of one process the newest stamp is returned. Which of two processes is the later one is not told by what
-  // comes first; returning a dead one's only delays proof until the living one's next heartbeat.
+  // Of one process, the newest timestamp is echoed. The order of arrival does not show which of two processes
+  // is the later one; echoing the timestamp of one that has ended only delays proof until the next heartbeat
+  // of the running one.
   if (p.incarnation != b.incarnation) p.first_seen = now;
   if (p.incarnation != b.incarnation || b.timestamp > p.timestamp)
     p.incarnation = b.incarnation, p.timestamp = b.timestamp;
--- a/src/share/heartbeat_tracker.h
+++ b/src/share/heartbeat_tracker.h
@@ -1,7 +1,8 @@
-// Which process of a peer a word comes from, and how old it is at most. A word may be held up by a cut, lie
-// in the socket of a node that stood still, or be of a process that has ended and been started again since:
-// its arrival says nothing. So each heartbeat names the process that sent it and returns the newest stamp
-// that it had from us; what came back with a stamp of this process was said after that stamp. Socket-free.
+// Determines which process of a peer sent a heartbeat, and a bound on the heartbeat's age. The time of
+// arrival shows neither: a heartbeat may be delayed by a network partition, wait in the socket of a node that
+// was suspended, or come from a process that has been restarted since. So each heartbeat names the process
+// that sent it and echoes the newest timestamp that it received from us; a heartbeat that echoes a timestamp
+// of this process was sent after that timestamp. Opens no sockets.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,39 +15,42 @@
 
 namespace aspenwick::share {
 
+/// Builds the heartbeats of this process and judges those of the peers. Times are by this node's clock.
 class HeartbeatTracker {
  public:
-  /// `incarnation`: drawn at random for each process, not 0.
+  /// `incarnation` identifies this process: drawn at random for each process, not 0.
   HeartbeatTracker(std::string node, std::uint64_t incarnation)
       : node_(std::move(node)), incarnation_(incarnation) {}
 
-  /// What we say of ourselves to a peer, now; of the cancellations the caller tells.
+  /// The heartbeat to send to a peer now. The caller fills in the fields about records and cancellations.
   Heartbeat message_for(const std::string& peer, const PeerState& ours, Micros now) const;
   struct Reception {
-    /// `at`: by our clock, surely not after it was said; `since` told too, `all_cancellations_known` not.
-    /// None: it proves nothing.
+    /// The sender's state, with `reported_at` and `alive_since` set; the caller sets
+    /// `all_cancellations_known`. Not set if the heartbeat proves nothing newer than what was accepted
+    /// before.
     std::optional<PeerState> state;
-    bool reply_needed = false;  // it has nothing of this process yet: an answer at once gives it our stamp
+    bool reply_needed = false;  // the sender has no timestamp of this process yet: send it a heartbeat now
   };
+  /// Takes in a heartbeat of a peer that arrived at `now`.
   Reception heard(const Heartbeat& heartbeat, Micros now);
 
-  /// A gossip frame came, which tells whether its sender's version sends heartbeats. true: it may be taken by
-  /// its arrival, as the version before means it.
+  /// Notes from a gossip frame whether its sender's version reads heartbeats. Returns true if the sender's
+  /// state in the frame counts as of its arrival, which holds only for the previous version.
   bool accept_gossip_state(const Gossip& gossip, Micros now);
-  /// The peer's process is known to read heartbeats.
+  /// Whether the peer is known to run a version that reads heartbeats.
   bool reads_heartbeats(const std::string& peer) const { return heartbeat_readers_.contains(peer); }
 
  private:
   struct Peer {
-    std::uint64_t incarnation = 0, timestamp = 0;  // of the heartbeat that came last, to be returned
-    Micros first_seen = 0;                         // when a heartbeat of that process came first
-    Micros echoed_at = -1;                         // our stamp in the newest word taken
-    std::uint64_t accepted_timestamp = 0, accepted_incarnation = 0;
+    std::uint64_t incarnation = 0, timestamp = 0;  // of its process seen last: the newest, to be echoed
+    Micros first_seen = 0;                         // arrival of that process's first heartbeat
+    Micros echoed_at = -1;  // our timestamp that the last accepted heartbeat echoes; -1: none
+    std::uint64_t accepted_timestamp = 0, accepted_incarnation = 0;  // those of that heartbeat itself
   };
   std::string node_;
   std::uint64_t incarnation_;
   std::map<std::string, Peer> peers_;
-  std::set<std::string> heartbeat_readers_;
+  std::set<std::string> heartbeat_readers_;  // peers whose version reads heartbeats
 };
 
 }  // namespace aspenwick::share
--- a/src/share/pending_confirmations.cpp
+++ b/src/share/pending_confirmations.cpp
@@ -11,7 +11,8 @@
     if (old != pending_.end() && now - old->second.added_at >= kConfirmableAfter) pending_.erase(old);
     expiry_queue_.pop_front();
   }
-  // Told again with its record's revision, it was cancelled no later.
+  // Added again with its record's revision: the job was not cancelled later than known before, so its time
+  // stays.
   const auto [it, added] = pending_.try_emplace(job, Pending{revision, number, now});
   if (added) {
     expiry_queue_.emplace_back(now, job);
--- a/src/share/pending_confirmations.h
+++ b/src/share/pending_confirmations.h
@@ -1,6 +1,6 @@
-// Cancellations that no user may be told of yet: an owner of the job's share may still start a task of it.
-// One is settled once every node that may own the share knows it, or once the time has passed for which an
-// owner may act on records that lack it. Socket-free.
+// Cancellations that may not be confirmed to a user yet, because an owner of the job's share may still start
+// a task of the job. One may be confirmed once every node that may own the share knows it, or once no owner
+// may act any more on records that lack it. Opens no sockets.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -15,19 +15,22 @@
 
 namespace aspenwick::share {
 
+/// Times are by the clock of the node that confirms.
 class PendingConfirmations {
  public:
-  /// What an owner sends last on old records arrives within this time, clock drift included.
+  /// The last order that an owner sends on outdated records arrives within this time; includes clock drift.
   static constexpr Micros kMaxOrderDelay = 500 * kMillisecond;
-  /// By the clock of the node that confirms, since it learnt of the cancellation, which was committed by
-  /// then.
+  /// How long after this node learnt of a cancellation it may be confirmed in any case. The cancellation was
+  /// committed by the time at which the node learnt of it.
   static constexpr Micros kConfirmableAfter = kMaxRecordsAge + kMaxOrderDelay;
 
-  /// A job is known to be cancelled. `revision`: of its record, 0: not known. `number`: see Cancellations.
+  /// Adds a job that is known to be cancelled. `revision` is that of its record, 0 if unknown; `number` is
+  /// that of CancellationBroadcast.
   void add(const std::string& job, std::uint64_t revision, std::uint64_t number, Micros now);
-  /// All other nodes that may own the job's share, as of that revision or later.
+  /// Returns all other nodes that may own the job's share, as of that revision or later.
   using OwnerLookup = std::function<std::vector<std::string>(std::uint64_t revision)>;
-  /// Users may be told; true for good once it was.
+  /// Whether the cancellation may be confirmed to users. Stays true once it was; true also for a job that was
+  /// never added.
   bool confirmable(const std::string& job, const CancellationBroadcast& cancellations,
                    const OwnerLookup& owners, Micros now);
   std::size_t size() const { return pending_.size(); }
@@ -41,7 +44,8 @@
                            const std::vector<std::string>& nodes);
 
   std::unordered_map<std::string, Pending> pending_;
-  std::deque<std::pair<Micros, std::string>> expiry_queue_;  // nobody may ask: these are forgotten in time
+  // Jobs by the time at which they were added, to remove those that nobody asks about.
+  std::deque<std::pair<Micros, std::string>> expiry_queue_;
 };
 
 }  // namespace aspenwick::share
