--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -31,14 +31,14 @@
   Reader(const std::string& in, std::size_t offset) : in_(in), offset_(offset) {}
   template <typename T>
   T num() {
-    if (in_.size() - offset_ < sizeof(T)) throw BadFrame("short frame");
+    if (in_.size() - offset_ < sizeof(T)) throw BadFrame("frame too short");
     std::uint64_t v = 0;
     for (std::size_t i = 0; i < sizeof(T); ++i) v = v << 8 | static_cast<unsigned char>(in_[offset_++]);
     return static_cast<T>(v);
   }
   std::string text() {
     const std::size_t n = num<std::uint8_t>();
-    if (in_.size() - offset_ < n) throw BadFrame("short frame");
+    if (in_.size() - offset_ < n) throw BadFrame("frame too short");
     std::string s = in_.substr(offset_, n);
     offset_ += n;
     return s;
@@ -51,7 +51,7 @@
     return r;
   }
   void expect_end() const {
-    if (offset_ != in_.size()) throw BadFrame("bytes left over");
+    if (offset_ != in_.size()) throw BadFrame("trailing bytes");
   }
 
  private:
@@ -59,7 +59,7 @@
   std::size_t offset_;
 };
 
-// 6 was a heartbeat without cancellations, which no version in production has sent.
+// Type 6 was a heartbeat without cancellations; no version in production has sent it.
 enum FrameType : std::uint8_t {
   kGossip = 1,
   kReleaseRequest,
@@ -69,8 +69,8 @@
   kHeartbeat = 7,
   kCancelNotice
 };
-// Bits of a gossip's flags; the version in production reads the first two. 4 was that of heartbeats of
-// type 6.
+// Bits of a gossip frame's flags; the version in production reads the first two. Bit 4 belonged to heartbeats
+// of type 6.
 enum GossipFlag : std::uint8_t {
   kStateServiceReachable = 1,
   kSynced = 2,
@@ -134,12 +134,12 @@
       d.types = r.num<std::uint64_t>();
       d.zone = r.num<std::uint8_t>();
       const auto rank = r.num<std::uint8_t>(), shape = r.num<std::uint8_t>();
-      if (rank > 3 || shape > 2) throw BadFrame("bad value");
+      if (rank > 3 || shape > 2) throw BadFrame("rank or shape of a demand out of range");
       d.rank = static_cast<wire::Rank>(rank);
       d.shape = static_cast<wire::Shape>(shape);
       const auto bits = r.num<std::uint8_t>();
       d.spot = bits & 1, d.one_zone = bits & 2, d.plain_only = bits & 4;
-      d.passed_over = bits & 8, d.any_room = bits & 16;  // left unread by the versions before
+      d.passed_over = bits & 8, d.any_room = bits & 16;  // bits that earlier versions ignore
       d.waiting = r.num<std::uint32_t>();
       d.running = r.num<std::uint32_t>();
       d.closed_zones = r.num<std::uint32_t>();
@@ -156,7 +156,7 @@
       m.usable = f & 1, m.empty = f & 2, m.lapsed = f & 4, m.suspect = f & 8;
       m.idle_ms = r.num<std::uint32_t>();
       const auto top = r.num<std::uint8_t>();
-      if (top > 3) throw BadFrame("bad value");
+      if (top > 3) throw BadFrame("rank of a machine out of range");
       m.top_rank = static_cast<wire::Rank>(top);
       s.machines.push_back(std::move(m));
     }
@@ -241,8 +241,8 @@
 
 std::size_t frame_length(const std::string& header) {
   Reader r(header, 0);
-  if (r.num<std::uint16_t>() != kFrameMagic) throw BadFrame("not a frame");
-  if (r.num<std::uint8_t>() != kFrameVersion) throw BadFrame("wrong version");
+  if (r.num<std::uint16_t>() != kFrameMagic) throw BadFrame("wrong magic number");
+  if (r.num<std::uint8_t>() != kFrameVersion) throw BadFrame("unsupported frame version");
   r.num<std::uint8_t>();
   const auto length = r.num<std::uint32_t>();
   if (length > kMaxFrameSize) throw BadFrame("frame too long");
@@ -250,7 +250,7 @@
 }
 
 Frame decode(const std::string& frame) {
-  if (frame.size() != frame_length(frame)) throw BadFrame("wrong length");
+  if (frame.size() != frame_length(frame)) throw BadFrame("length does not match the header");
   Reader r(frame, kFrameHeaderSize);
   Frame out;
   switch (static_cast<std::uint8_t>(frame[3])) {
@@ -263,7 +263,7 @@
       a.to_share = r.num<std::int16_t>();
       a.drain = r.num<std::uint8_t>() != 0;
       const auto rank = r.num<std::uint8_t>();
-      if (rank > 3) throw BadFrame("bad value");
+      if (rank > 3) throw BadFrame("rank of a release request out of range");
       a.rank = static_cast<wire::Rank>(rank);
       out = a;
       break;
@@ -303,7 +303,8 @@
       CancelNotice c;
       c.node = r.text();
       for (auto* n : {&c.incarnation, &c.after_number, &c.last_number}) *n = r.num<std::uint64_t>();
-      if (c.incarnation == 0 || c.after_number > c.last_number) throw BadFrame("bad value");
+      if (c.incarnation == 0 || c.after_number > c.last_number)
+        throw BadFrame("invalid incarnation or numbers of a cancel notice");
       for (int n = r.num<std::uint16_t>(); n > 0; --n) {
         std::string id = r.text();
         c.jobs.push_back({std::move(id), r.num<std::uint64_t>()});
@@ -312,7 +313,7 @@
       break;
     }
     default:
-      throw BadFrame("unknown type");
+      throw BadFrame("unknown frame type");
   }
   r.expect_end();
   return out;
--- a/src/share/peer_frame.h
+++ b/src/share/peer_frame.h
@@ -1,5 +1,5 @@
-// What our processes say to one another: packed structs by hand, big-endian, with a version and a checked
-// length.
+// The frames that nodes exchange, and their encoding: big-endian fields without padding, behind a header of
+// magic number (2 bytes), version (1), type (1) and body length (4).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,62 +13,70 @@
 inline constexpr std::uint16_t kFrameMagic = 0xA5E7;
 inline constexpr std::uint8_t kFrameVersion = 2;
 inline constexpr std::size_t kFrameHeaderSize = 8;
+// The receiver drops a connection on which a longer body is announced.
 inline constexpr std::size_t kMaxFrameSize = 128 * 1024;
 
+/// What the owner of a share reports to the leader.
 struct ShareReport {
   int share = 0;
-  bool rebuilt = false;
+  bool rebuilt = false;  // after taking the share, the owner has accounted for all of its machines
   std::vector<Demand> demands;
   std::vector<MachineState> machines;
 };
+/// The state of a node and the shares that it owns, sent periodically and whenever the leader changes.
 struct Gossip {
   std::string node;
   bool state_service_reachable = false, synced = false;
   std::uint64_t lease = 0;
   std::vector<ShareReport> shares;
-  // In bits that the version before leaves unread.
-  bool sender_reads_heartbeats = false;  // the sender reads heartbeats; what it says of itself goes by them
-  bool ids_only = false;                 // only which shares it holds: the rest is told to the leader
+  // These are bits that the previous version ignores.
+  bool sender_reads_heartbeats = false;  // the sender's state is then taken from its heartbeats
+  bool ids_only = false;                 // `shares` only names the owned shares; the leader gets the rest
 };
-/// What a process says of itself, with which process it is and what it last had from the receiver (see
-/// heartbeats.h, cancellations.h). Sent only to those that read it.
+/// The state of a process, its identity and what it last received from the receiver; see heartbeat_tracker.h
+/// and cancellation_broadcast.h. Sent only to peers whose version reads heartbeats.
 struct Heartbeat {
   std::string node;
   bool state_service_reachable = false, synced = false;
   std::uint64_t lease = 0;
-  std::uint64_t incarnation = 0, timestamp = 0;            // stamp: microseconds of the sender's clock
-  std::uint64_t echo_incarnation = 0, echo_timestamp = 0;  // the receiver's, as heard last; 0: nothing yet
+  std::uint64_t incarnation = 0, timestamp = 0;            // timestamp: microseconds of the sender's clock
+  std::uint64_t echo_incarnation = 0, echo_timestamp = 0;  // last received from the receiver; 0: none yet
   std::uint64_t records_read_to = 0;  // revision up to which the sender has read all job records; 0: not yet
-  std::uint64_t highest_cancellation = 0;  // number of the newest that the sender may have told a user of
-  std::uint64_t acked_cancellation = 0;    // of the receiver's process `echo_incarnation`, up to which number
-  std::vector<std::uint64_t> highest_epochs;  // by share: the highest that the sender knows to be taken
+  // The number of the newest cancellation that the sender may have confirmed to a user.
+  std::uint64_t highest_cancellation = 0;
+  // The number up to which the sender received the cancellations of the receiver's process
+  // `echo_incarnation`.
+  std::uint64_t acked_cancellation = 0;
+  std::vector<std::uint64_t> highest_epochs;  // by share: the highest owner epoch that the sender knows of
 };
-/// The leader asks an owner to give a machine away, empty or to be drained; share -1: to be deleted.
+/// The leader asks the owner of a machine to move it to another share or to have it deleted.
 struct ReleaseRequest {
   std::string machine;
-  int to_share = -1;
-  bool drain = false;  // stop first what ranks below
+  int to_share = -1;   // -1: delete the machine
+  bool drain = false;  // first stop the tasks that rank below `rank`; otherwise only an empty machine moves
   wire::Rank rank = wire::Rank::low;
 };
+/// Asks for the progress of a job; answered by a StatusReply with the same `request`.
 struct StatusRequest {
   std::uint32_t request = 0;
   std::string job;
 };
 struct StatusReply {
   std::uint32_t request = 0;
-  bool known = false;
-  std::uint32_t done = 0, running = 0;
+  bool known = false;                   // a share that the sender owns has the job
+  std::uint32_t done = 0, running = 0;  // tasks
 };
-/// A job was cancelled; told ahead of the watch to the version before, which reads no CancelNotice.
+/// A job was cancelled. Sent ahead of the watch to peers of the previous version, which reads no
+/// CancelNotice.
 struct LegacyCancelNotice {
   std::string job;
 };
-/// Jobs that are cancelled: of those that the sender has numbered above `from`, up to `upto`, all whose
-/// records the receiver may not have read (see cancellations.h).
+/// Cancelled jobs: of the cancellations that the sender has numbered above `after_number` and up to
+/// `last_number`, all whose records the receiver may not have read; see cancellation_broadcast.h.
 struct CancelNotice {
   struct Job {
     std::string id;
-    std::uint64_t revision = 0;  // of its record
+    std::uint64_t revision = 0;  // of its record; 0: unknown
   };
   std::string node;
   std::uint64_t incarnation = 0, after_number = 0, last_number = 0;
@@ -77,16 +85,20 @@
 using Frame = std::variant<Gossip, ReleaseRequest, StatusRequest, StatusReply, LegacyCancelNotice, Heartbeat,
                            CancelNotice>;
 
+/// Returns the frame with its header. Strings are cut to 255 bytes; the total length is not checked.
 std::string encode(const Frame& frame);
-/// The same in as many frames as their bound asks for, one if it can be: each with some of the shares. A
-/// share that none holds is told with as many of its machines as fit.
+/// Encodes `whole` as one frame, or, if that would exceed kMaxFrameSize, as several with some of the shares
+/// each. A share that does not fit into a frame of its own is sent with only as many of its machines as fit.
 std::vector<std::string> encode_gossip(const Gossip& whole);
 
+/// Bytes that are not a valid frame of this version.
 struct BadFrame : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-/// The length of a whole frame from its header (kFrameHeaderSize bytes); throws BadFrame.
+/// Returns the length of a whole frame including its header, given at least the header (kFrameHeaderSize
+/// bytes); throws BadFrame.
 std::size_t frame_length(const std::string& header);
-Frame decode(const std::string& frame);  // throws BadFrame
+/// Decodes one whole frame; throws BadFrame.
+Frame decode(const std::string& frame);
 
 }  // namespace aspenwick::share
--- a/src/share/peer_link.cpp
+++ b/src/share/peer_link.cpp
@@ -8,8 +8,8 @@
 
 namespace aspenwick::share {
 namespace {
-constexpr std::size_t kMaxSendBacklog = 256 * 1024;  // to a peer that does not read
-constexpr int kMaxConnections = 32;
+constexpr std::size_t kMaxSendBacklog = 256 * 1024;  // unsent bytes after which a connection is closed
+constexpr int kMaxConnections = 32;  // incoming and outgoing; beyond it, incoming ones are closed
 
 sockaddr_in to_sockaddr(const wire::Endpoint& e) {
   sockaddr_in a{};
@@ -24,7 +24,7 @@
 struct PeerLink::Connection {
   PeerLink* link;
   bufferevent* bev;
-  std::string node;  // empty: accepted
+  std::string node;  // the peer it was opened to; empty for an incoming connection
   bool connected = false;
   ~Connection() { bufferevent_free(bev); }
   explicit Connection(PeerLink* l, bufferevent* b, std::string n) : link(l), bev(b), node(std::move(n)) {}
@@ -63,7 +63,8 @@
           k->link->drop_connection(k);
       },
       c);
-  // A peer that is silent for long is behind a cut: start afresh.
+  // Close incoming connections on which nothing arrives, and any on which nothing can be sent: a network
+  // partition probably cut them off, and a new connection is opened afterwards.
   const timeval idle_timeout{4, 0};
   bufferevent_set_timeouts(bev, c->node.empty() ? &idle_timeout : nullptr, &idle_timeout);
   bufferevent_enable(bev, EV_READ | EV_WRITE);
@@ -112,7 +113,7 @@
       });
       if (!connections_.contains(self)) return;
     } catch (const BadFrame& e) {
-      spdlog::error("peer link: {}; connection dropped", e.what());
+      spdlog::error("peer link: invalid frame: {}; connection closed", e.what());
       drop_connection(self);
       return;
     }
--- a/src/share/peer_link.h
+++ b/src/share/peer_link.h
@@ -1,4 +1,5 @@
-// Frames between our processes over peer_listen. A bad frame drops that connection only.
+// TCP connections between the nodes, which carry frames. A node accepts them on the address `peer_listen` and
+// opens one to each peer that it sends to. An invalid frame closes only the connection on which it arrived.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/event.h>
@@ -16,11 +17,15 @@
 
 class PeerLink : public PeerTransport {
  public:
+  /// Called with each frame that arrives and a function that replies to it.
   using Handler = std::function<void(const Frame&, const Reply&)>;
 
+  /// Listens at once; throws std::runtime_error if the address is invalid or cannot be bound. `base` must
+  /// outlive the link.
   PeerLink(event_base* base, const wire::PlatformSettings& settings, Handler handler);
   ~PeerLink() override;
 
+  /// Without a connection to the peer this starts one and returns false.
   bool send_bytes(const std::string& node, const std::string& frame) override;
 
  private:
@@ -35,8 +40,8 @@
   Handler handler_;
   evconnlistener* listener_ = nullptr;
   std::map<std::string, wire::Endpoint> peer_endpoints_;
-  std::map<std::string, Connection*> outgoing_;
-  std::map<Connection*, std::unique_ptr<Connection>> connections_;
+  std::map<std::string, Connection*> outgoing_;                     // by peer
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;  // incoming and outgoing
 };
 
 }  // namespace aspenwick::share
--- a/src/share/peer_transport.h
+++ b/src/share/peer_transport.h
@@ -1,4 +1,4 @@
-// Frames to our other processes, as the rest of a node sees them: any of them may get lost, none comes twice.
+// The interface by which a node sends frames to its peers. A frame may be lost; none is delivered twice.
 #pragma once
 #include <functional>
 #include <string>
@@ -7,9 +7,10 @@
 
 namespace aspenwick::share {
 
+/// Sends frames to the peers by node name. PeerLink implements it over TCP.
 class PeerTransport {
  public:
-  /// Sends back to where a frame came from.
+  /// Sends a frame back over the connection on which another frame arrived.
   using Reply = std::function<void(const Frame&)>;
 
   virtual ~PeerTransport() = default;
@@ -17,7 +18,8 @@
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  /// `frame` as encode() or encode_gossip() made it. false: surely not sent; there is no connection now.
+  /// Sends the bytes of a frame as encode() or encode_gossip() returned them. Returns false if the frame was
+  /// certainly not sent because there is no usable connection now.
   virtual bool send_bytes(const std::string& node, const std::string& frame) = 0;
   bool send(const std::string& node, const Frame& frame) { return send_bytes(node, encode(frame)); }
 };
