--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -28,7 +28,8 @@
   const auto ours = state_of_us();
   share::Gossip g;
   g.node = platform_.name;
-  g.state_service_reachable = ours.state_service_reachable, g.synced = ours.synced, g.lease = ours.lease;
+  g.state_service_reachable = ours.state_service_reachable, g.records_synced = ours.records_synced,
+  g.lease = ours.lease;
   g.sender_reads_heartbeats = true;
   share::Gossip brief = g;
   brief.ids_only = true;
@@ -181,7 +182,7 @@
   const Micros now = needs_.loop.now();
   auto& own = needs_.owned_shares.ownership();
   if (heartbeats_.accept_gossip_state(g, now))
-    own.peer_reported(g.node, {g.state_service_reachable, g.synced, g.lease, now, false, 0, {}});
+    own.peer_reported(g.node, {g.state_service_reachable, g.records_synced, g.lease, now, false, 0, {}});
   for (const auto& s : g.shares) holds_[s.share] = {g.node, now};
   if (g.ids_only) return;
   // Share by share: a node with thousands of machines tells them in several frames.
--- a/src/share/heartbeat_tracker.cpp
+++ b/src/share/heartbeat_tracker.cpp
@@ -10,7 +10,8 @@
 Heartbeat HeartbeatTracker::message_for(const std::string& peer, const PeerState& ours, Micros now) const {
   Heartbeat b;
   b.node = node_;
-  b.state_service_reachable = ours.state_service_reachable, b.synced = ours.synced, b.lease = ours.lease;
+  b.state_service_reachable = ours.state_service_reachable, b.records_synced = ours.records_synced,
+  b.lease = ours.lease;
   b.highest_epochs = ours.highest_epochs;
   b.incarnation = incarnation_;
   b.timestamp = static_cast<std::uint64_t>(now);
@@ -37,8 +38,8 @@
                                b.timestamp > p.accepted_timestamp);
   if (!newer) return out;
   p.echoed_at = echoed, p.accepted_incarnation = b.incarnation, p.accepted_timestamp = b.timestamp;
-  out.state =
-      PeerState{b.state_service_reachable, b.synced, b.lease, echoed, false, p.first_seen, b.highest_epochs};
+  out.state = PeerState{b.state_service_reachable, b.records_synced, b.lease, echoed, false, p.first_seen,
+                        b.highest_epochs};
   return out;
 }
 
--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -255,7 +255,7 @@
   for (const auto& s : platform_.siblings) {
     auto it = peers_.find(s.name);
     const bool ready = it != peers_.end() && now - it->second.reported_at < kPeerReportMaxAge &&
-                       it->second.state_service_reachable && it->second.synced;
+                       it->second.state_service_reachable && it->second.records_synced;
     if (!ready)
       home_ready_since_.erase(s.name);
     else
--- a/src/share/ownership.h
+++ b/src/share/ownership.h
@@ -30,8 +30,8 @@
 
 /// The latest state that a peer reported of itself.
 struct PeerState {
-  bool state_service_reachable = false, synced = false;  // synced: it has read all records and follows them
-  std::uint64_t lease = 0;                               // 0: none
+  bool state_service_reachable = false, records_synced = false;
+  std::uint64_t lease = 0;  // 0: none
   // By our clock: a lower bound of when the peer sent the report, or for gossip of the previous version its
   // arrival.
   Micros reported_at = 0;
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -73,16 +73,16 @@
 // of type 6.
 enum GossipFlag : std::uint8_t {
   kStateServiceReachable = 1,
-  kSynced = 2,
+  kRecordsSynced = 2,
   kIdsOnly = 8,
   kReadsHeartbeats = 16
 };
 
 void write(Writer& w, const Gossip& g) {
   w.text(g.node);
-  w.num<std::uint8_t>(static_cast<std::uint8_t>((g.state_service_reachable ? kStateServiceReachable : 0) |
-                                                (g.synced ? kSynced : 0) | (g.ids_only ? kIdsOnly : 0) |
-                                                (g.sender_reads_heartbeats ? kReadsHeartbeats : 0)));
+  w.num<std::uint8_t>(static_cast<std::uint8_t>(
+      (g.state_service_reachable ? kStateServiceReachable : 0) | (g.records_synced ? kRecordsSynced : 0) |
+      (g.ids_only ? kIdsOnly : 0) | (g.sender_reads_heartbeats ? kReadsHeartbeats : 0)));
   w.num<std::uint64_t>(g.lease);
   w.num<std::uint8_t>(static_cast<std::uint8_t>(g.shares.size()));
   for (const auto& s : g.shares) {
@@ -120,7 +120,7 @@
   Gossip g;
   g.node = r.text();
   const auto flags = r.num<std::uint8_t>();
-  g.state_service_reachable = flags & kStateServiceReachable, g.synced = flags & kSynced;
+  g.state_service_reachable = flags & kStateServiceReachable, g.records_synced = flags & kRecordsSynced;
   g.ids_only = flags & kIdsOnly, g.sender_reads_heartbeats = flags & kReadsHeartbeats;
   g.lease = r.num<std::uint64_t>();
   const auto shares = r.num<std::uint8_t>();
@@ -195,7 +195,7 @@
   } else if (const auto* b = std::get_if<Heartbeat>(&frame)) {
     type = kHeartbeat;
     body.text(b->node);
-    body.num<std::uint8_t>(static_cast<std::uint8_t>(b->state_service_reachable | b->synced << 1));
+    body.num<std::uint8_t>(static_cast<std::uint8_t>(b->state_service_reachable | b->records_synced << 1));
     for (const auto n : {b->lease, b->incarnation, b->timestamp, b->echo_incarnation, b->echo_timestamp,
                          b->records_read_to, b->highest_cancellation, b->acked_cancellation})
       body.num<std::uint64_t>(n);
@@ -291,7 +291,7 @@
       Heartbeat b;
       b.node = r.text();
       const auto flags = r.num<std::uint8_t>();
-      b.state_service_reachable = flags & 1, b.synced = flags & 2;
+      b.state_service_reachable = flags & 1, b.records_synced = flags & 2;
       for (auto* n : {&b.lease, &b.incarnation, &b.timestamp, &b.echo_incarnation, &b.echo_timestamp,
                       &b.records_read_to, &b.highest_cancellation, &b.acked_cancellation})
         *n = r.num<std::uint64_t>();
--- a/src/share/peer_frame.h
+++ b/src/share/peer_frame.h
@@ -26,7 +26,7 @@
 /// The state of a node and the shares that it owns, sent periodically and whenever the leader changes.
 struct Gossip {
   std::string node;
-  bool state_service_reachable = false, synced = false;
+  bool state_service_reachable = false, records_synced = false;
   std::uint64_t lease = 0;
   std::vector<ShareReport> shares;
   // These are bits that the previous version ignores.
@@ -37,7 +37,7 @@
 /// and cancellation_broadcast.h. Sent only to peers whose version reads heartbeats.
 struct Heartbeat {
   std::string node;
-  bool state_service_reachable = false, synced = false;
+  bool state_service_reachable = false, records_synced = false;
   std::uint64_t lease = 0;
   std::uint64_t incarnation = 0, timestamp = 0;            // timestamp: microseconds of the sender's clock
   std::uint64_t echo_incarnation = 0, echo_timestamp = 0;  // last received from the receiver; 0: none yet
@@ -88,7 +88,8 @@
 /// Returns the frame with its header. Strings are cut to 255 bytes; the total length is not checked.
 std::string encode(const Frame& frame);
 /// Encodes `whole` as one frame, or, if that would exceed kMaxFrameSize, as several with some of the shares
-/// each. A share that does not fit into a frame of its own is sent with only as many of its machines as fit.
+/// each. Of a share that does not fit into a frame of its own, the number of machines is halved until it
+/// fits.
 std::vector<std::string> encode_gossip(const Gossip& whole);
 
 /// Bytes that are not a valid frame of this version.
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -39,7 +39,8 @@
 
 TEST(Frame, WhatConfirmsAHolderComesBackAsItWasSent) {
   Heartbeat b;
-  b.node = "rig-1", b.synced = true, b.lease = 7, b.incarnation = 8, b.timestamp = 9, b.echo_incarnation = 10;
+  b.node = "rig-1", b.records_synced = true, b.lease = 7, b.incarnation = 8, b.timestamp = 9,
+  b.echo_incarnation = 10;
   b.echo_timestamp = 11, b.records_read_to = 12, b.highest_cancellation = 13, b.acked_cancellation = 14,
   b.highest_epochs = {15, 16};
   const std::string beat = encode(b),
