--- a/src/share/ownership.h
+++ b/src/share/ownership.h
@@ -91,7 +91,7 @@
   /// Whether reports of a share's workers may be answered, which renews the workers' leases. Beyond our own
   /// lease only while all peers confirm it: they lack the state service too, were running when it last served
   /// us, and know neither a later owner nor a cancellation that we do not know. Without these confirmations,
-  /// for at most max_unconfirmed_renewal() after the lease.
+  /// for at most max_unconfirmed_renewal() after the lease, and only if all job records were read recently.
   bool may_renew_worker_leases(int share, Micros now) const;
   /// Why may_renew_worker_leases() is false, for the operator's log; empty if it is true.
   std::string renewal_refusal_reason(int share, Micros now) const;
--- a/src/share/pending_confirmations.h
+++ b/src/share/pending_confirmations.h
@@ -29,8 +29,8 @@
   void add(const std::string& job, std::uint64_t revision, std::uint64_t number, Micros now);
   /// Returns all other nodes that may own the job's share, as of that revision or later.
   using OwnerLookup = std::function<std::vector<std::string>(std::uint64_t revision)>;
-  /// Whether the cancellation may be confirmed to users. Stays true once it was; true also for a job that was
-  /// never added.
+  /// Whether the cancellation may be confirmed to users. Once true, it stays so unless the job is added
+  /// again; true also for a job that was never added.
   bool confirmable(const std::string& job, const CancellationBroadcast& cancellations,
                    const OwnerLookup& owners, Micros now);
   std::size_t size() const { return pending_.size(); }
