--- a/src/share/peer_link.h
+++ b/src/share/peer_link.h
@@ -1,4 +1,5 @@
-// Frames between our processes over peer_listen. A bad frame drops that connection only.
+// TCP connections between the nodes, which carry frames. A node accepts them on the address `peer_listen` and
+// opens one to each peer that it sends to. An invalid frame closes only the connection on which it arrived.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/event.h>
@@ -9,34 +10,38 @@
 #include <memory>
 #include <string>
 
-#include "share/peers.h"
+#include "share/peer_transport.h"
 #include "wire/settings.h"
 
 namespace aspenwick::share {
 
-class PeerLink : public Peers {
+class PeerLink : public PeerTransport {
  public:
+  /// Called with each frame that arrives and a function that replies to it.
   using Handler = std::function<void(const Frame&, const Reply&)>;
 
+  /// Listens at once; throws std::runtime_error if the address is invalid or cannot be bound. `base` must
+  /// outlive the link.
   PeerLink(event_base* base, const wire::PlatformSettings& settings, Handler handler);
   ~PeerLink() override;
 
+  /// Without a connection to the peer this starts one and returns false.
   bool send_bytes(const std::string& node, const std::string& frame) override;
 
  private:
   struct Connection;
   void connect(const std::string& node);
-  void drop(Connection* c);
-  void read(Connection& c);
+  void drop_connection(Connection* c);
+  void read_frames(Connection& c);
   static void on_accept(evconnlistener*, int fd, sockaddr*, int, void* self);
-  Connection* add(bufferevent* bev, std::string node);
+  Connection* add_connection(bufferevent* bev, std::string node);
 
   event_base* base_;
   Handler handler_;
   evconnlistener* listener_ = nullptr;
-  std::map<std::string, wire::Endpoint> peers_;
-  std::map<std::string, Connection*> out_;
-  std::map<Connection*, std::unique_ptr<Connection>> all_;
+  std::map<std::string, wire::Endpoint> peer_endpoints_;
+  std::map<std::string, Connection*> outgoing_;                     // by peer
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;  // incoming and outgoing
 };
 
 }  // namespace aspenwick::share
