--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -290,7 +290,7 @@
   const auto machine_types = types();
   for (auto _ : state) {
     std::unordered_map<std::string, job::JobRecord> jobs;
-    job::Graph graph([&](const std::string& id) -> const job::JobRecord* {
+    job::DependencyGraph graph([&](const std::string& id) -> const job::JobRecord* {
       auto it = jobs.find(id);
       return it == jobs.end() ? nullptr : &it->second;
     });
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -53,7 +53,7 @@
       leader_(platform, ops.renting, records_.types(), records_.machines(),
               {[this] { return loop_.now(); }, needs.http, [this] { return peer_service_.all_shares(); },
                [this](const auto& types) { records_.write_types(types); },
-               [this](const fleet::Move& move) { peer_service_.give(move); },
+               [this](const fleet::MoveMachine& move) { peer_service_.give(move); },
                [this](const auto& ids) { records_.forget_machines(ids); }}),
       job_api_(
           platform, needs.incarnation,
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -63,7 +63,7 @@
 bool JobApi::answer_final(const ExchangePtr& x, const std::string& id) {
   const auto* known = needs_.records.job(id);
   // Told from the graph as soon as the cancellation above it is known; its own record follows.
-  const bool doomed = needs_.records.graph().doomed(id);
+  const bool doomed = needs_.records.graph().has_cancelled_dependency(id);
   if (!doomed && !(known && known->final())) return false;
   tallies_.erase(id);
   const JobStatus status = known && known->final() ? known->status : JobStatus::cancelled;
@@ -112,10 +112,10 @@
   if (!needs_.records.synced()) return retry(x, "starting");
   if (needs_.records.job(spec.id)) return tell(x, spec.id);
   if (needs_.records.types().empty()) return retry(x, "machine types not known yet");
-  if (const auto why = job::never_runs(spec, needs_.records.types(), platform_.teams); !why.empty())
+  if (const auto why = job::unschedulable_reason(spec, needs_.records.types(), platform_.teams); !why.empty())
     return refuse(x, 422, spec.id, why);
   if (needs_.store.crowded()) return x->answer(429, wire::error_body("over budget"), 2);
-  job::keep_known_types(spec, needs_.records.types());
+  job::keep_usable_types(spec, needs_.records.types());
   s->record.spec = std::make_shared<const wire::JobSpec>(std::move(spec));
   s->record.submitted = needs_.loop.time_of_day();
   check_needs(s);
@@ -159,7 +159,7 @@
   // Nor those of our former process: the time of day may step back between the two, a late deletion of parts
   // of one of its tries may still be executed.
   s->tag = platform_.name + "-" + std::to_string(incarnation_) + "-" + std::to_string(++tags_);
-  s->rows = job::rows_of(s->record, platform_.value_room(), s->tag);
+  s->rows = job::record_to_rows(s->record, platform_.value_room(), s->tag);
   s->record.parts = static_cast<std::uint32_t>(s->rows.parts.size());
   s->record.parts_tag = s->tag;
   write_record(s);
@@ -232,8 +232,8 @@
     const auto* known = needs_.records.job(id);
     if (!known) return look_up(x, id);
     if (answer_final(x, id)) return;
-    if (!known->spec || !needs_.records.graph().whole(id)) return retry(x, "still being read");
-    if (!needs_.records.graph().ready(id)) return answer(x, 200, id);
+    if (!known->spec || !needs_.records.graph().dependencies_known(id)) return retry(x, "still being read");
+    if (!needs_.records.graph().is_ready(id)) return answer(x, 200, id);
     tell_tally(x, id);
   });
 }
@@ -294,7 +294,7 @@
     if (const auto* known = needs_.records.job(id); !record.spec && known) record.spec = known->spec;
     // `done` and `cancelled` race by the guard: one of them finds the record changed.
     needs_.store.commit({{kJob + id, row.version}},
-                        {{kJob + id, job::cancelled_value(record, platform_.value_room()), {}, false}},
+                        {{kJob + id, job::cancelled_record_json(record, platform_.value_room()), {}, false}},
                         store::Urgency::accept,
                         [this, x, id, tries, record](int commit, std::uint64_t revision) mutable {
                           if (commit == 409) return cancel(x, id, tries - 1);
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -38,12 +38,12 @@
     list_machines("", std::make_shared<std::vector<wire::CloudMachine>>());
   }
   for (const auto& action : provisioner_->tick(t, needs_.shares(), machines_)) {
-    if (const auto* r = std::get_if<fleet::Rent>(&action))
+    if (const auto* r = std::get_if<fleet::RentMachines>(&action))
       rent(*r);
-    else if (const auto* d = std::get_if<fleet::Delete>(&action))
+    else if (const auto* d = std::get_if<fleet::DeleteMachines>(&action))
       remove(*d);
     else
-      needs_.move(std::get<fleet::Move>(action));
+      needs_.move(std::get<fleet::MoveMachine>(action));
   }
 }
 
@@ -64,7 +64,7 @@
                         if (code != 200) return;
                         try {
                           const auto types = wire::parse_types(body);
-                          if (provisioner_) provisioner_->prices(types);
+                          if (provisioner_) provisioner_->set_spot_prices(types);
                           if (types_.empty() && !types.empty()) needs_.found_types(types);
                         } catch (const std::exception& e) {
                           spdlog::error("cloud: {}", e.what());
@@ -93,7 +93,7 @@
                       });
 }
 
-void Leader::rent(const fleet::Rent& rent) {
+void Leader::rent(const fleet::RentMachines& rent) {
   if (calls_left_ < 1) return provisioner_->rented(rent, 429, {}, needs_.now() - 3600 * kSecond);
   calls_left_ -= 1;
   const std::string request = request_names_.next(epoch_);
@@ -111,7 +111,7 @@
                       });
 }
 
-void Leader::remove(const fleet::Delete& gone) {
+void Leader::remove(const fleet::DeleteMachines& gone) {
   if (calls_left_ < 1) return provisioner_->deleted(gone.machines, false, needs_.now());
   calls_left_ -= 1;
   needs_.http.request(net::Method::post, platform_.cloud, "/rentals/delete",
--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -23,11 +23,11 @@
     std::function<std::vector<share::ShareSaid>()> shares;
     /// The types were read for the first time and are to be recorded.
     std::function<void(const std::vector<wire::MachineType>&)> found_types;
-    std::function<void(const fleet::Move&)> move;
+    std::function<void(const fleet::MoveMachine&)> move;
     /// The cloud has deleted them: their records can go.
     std::function<void(const std::vector<std::string>&)> deleted;
   };
-  Leader(const wire::PlatformSettings& platform, const fleet::RenterSettings& settings,
+  Leader(const wire::PlatformSettings& platform, const fleet::ProvisionerSettings& settings,
          const std::vector<wire::MachineType>& types,
          const std::map<std::string, share::MachineRecord>& machines, Needs needs)
       : platform_(platform),
@@ -48,17 +48,17 @@
  private:
   void fetch_types();
   void list_machines(const std::string& after, std::shared_ptr<std::vector<wire::CloudMachine>> sofar);
-  void rent(const fleet::Rent& rent);
-  void remove(const fleet::Delete& gone);
+  void rent(const fleet::RentMachines& rent);
+  void remove(const fleet::DeleteMachines& gone);
 
   const wire::PlatformSettings& platform_;
-  fleet::RenterSettings settings_;
+  fleet::ProvisionerSettings settings_;
   const std::vector<wire::MachineType>& types_;
   const std::map<std::string, share::MachineRecord>& machines_;
   Needs needs_;
   std::unique_ptr<fleet::Provisioner> provisioner_;
   std::uint64_t epoch_ = 0;
-  fleet::RequestNames request_names_;
+  fleet::RentalIdempotencyKeys request_names_;
   bool fetching_types_ = false, listing_ = false;
   Micros next_list_ = 0, next_prices_ = 0, refilled_ = 0;
   double calls_left_ = 1;
--- a/src/app/operator_settings.h
+++ b/src/app/operator_settings.h
@@ -10,7 +10,7 @@
 
 struct OperatorSettings {
   place::RnnSettings rnn;
-  fleet::RenterSettings renting;
+  fleet::ProvisionerSettings renting;
   Micros suspect_for = 60 * kSecond;
   Micros error_backoff = 2 * kSecond;
   /// A share goes on under a new epoch after so many attempts; not in the YAML, since only the numbers' width
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -204,14 +204,14 @@
 void OwnedShares::job_seen(const std::string& id, const job::JobRecord& record) {
   for (auto& [share, owned] : owned_) {
     // A job that waits for others has no part in anything yet.
-    if (!record.final() && (!record.spec || !records().graph().ready(id))) continue;
+    if (!record.final() && (!record.spec || !records().graph().is_ready(id))) continue;
     if (record.spec) owned.controller->note_gpu_job(*record.spec);
     if (!record.final() && own_.share_of_team(record.spec->team) != share) continue;
     const std::uint64_t since = std::max(record.version, records().graph().ready_version(id));
     owned.controller->job_known(id, record, since > owned.taken_version, needs_.loop.now(),
                                 needs_.loop.time_of_day());
     if (!record.final())
-      owned.controller->set_course(id, records().graph().course(id, record), needs_.loop.now(),
+      owned.controller->set_course(id, records().graph().scheduling_goals(id, record), needs_.loop.now(),
                                    needs_.loop.time_of_day());
   }
 }
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -136,7 +136,7 @@
   return shares;
 }
 
-void PeerService::give(const fleet::Move& move) {
+void PeerService::give(const fleet::MoveMachine& move) {
   if (auto* owned = needs_.owned_shares.find(move.from)) {
     if (move.drain)
       owned->controller->drain(move.machine, move.to, move.rank, needs_.loop.now());
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -59,7 +59,7 @@
   /// Who says lately that it holds a share; empty: nobody. Where our own view of the keys may be old.
   std::string told_owner(int share) const;
   /// As the leader's plan wants it: by us, or by whoever holds the share.
-  void give(const fleet::Move& move);
+  void give(const fleet::MoveMachine& move);
 
  private:
   struct Told {
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -194,9 +194,9 @@
     auto it = jobs_.find(id);
     if (it == jobs_.end() || it->second.final()) continue;
     if (it->second.spec && spdlog::should_log(spdlog::level::debug)) {
-      const auto c = graph_.course(id, it->second);
+      const auto c = graph_.scheduling_goals(id, it->second);
       spdlog::debug("stage {} ({}) {} {:.1f} s ago, rank {}, to finish in {:.1f} s", id,
-                    it->second.spec->job_class, graph_.ready(id) ? "open since" : "waits, accepted",
+                    it->second.spec->job_class, graph_.is_ready(id) ? "open since" : "waits, accepted",
                     to_seconds(needs_.loop.time_of_day() - c.ready), static_cast<int>(c.rank),
                     c.finish_by ? to_seconds(*c.finish_by - needs_.loop.time_of_day()) : 0.0);
     }
@@ -259,7 +259,7 @@
 }
 
 void Records::write_types(const std::vector<wire::MachineType>& types) {
-  const auto rows = job::types_rows(types, platform_.value_room());
+  const auto rows = job::types_to_rows(types, platform_.value_room());
   if (rows.size() == 1)
     return needs_.store.commit({{kTypes, 0}}, {{kTypes, rows[0], {}, false}}, store::Urgency::user,
                                [](int, std::uint64_t) {});
--- a/src/app/records.h
+++ b/src/app/records.h
@@ -38,7 +38,7 @@
   /// The same, but an empty open record for a job whose row could not be read: there is such a job.
   const job::JobRecord* entry(const std::string& id) const;
   const std::unordered_map<std::string, job::JobRecord>& jobs() const { return jobs_; }
-  const job::Graph& graph() const { return graph_; }
+  const job::DependencyGraph& graph() const { return graph_; }
   const std::map<std::string, share::MachineRecord>& machines() const { return machines_; }
   const share::MachineRecord* machine(const std::string& id) const;
   /// Empty until all are known; then the same for good, indices included.
@@ -68,7 +68,7 @@
   void add_machine(const share::MachineRecord& machine);
   /// Tells `job_seen` of stages that opened and of what those that need a job grant it.
   void follow_graph();
-  void replan() { graph_.replan(); }
+  void replan() { graph_.recompute_finish_times(); }
 
   // ---- the store
   /// Deletes rows that nothing reads any more.
@@ -100,7 +100,7 @@
   bool synced_ = false;
   std::unordered_map<std::string, job::JobRecord> jobs_;
   std::set<std::string> unreadable_;  // jobs
-  job::Graph graph_;
+  job::DependencyGraph graph_;
   std::unordered_map<std::string, std::map<std::string, std::map<std::uint32_t, std::string>>> parts_;
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> readers_;  // node -> lease, row's version
   std::map<std::string, share::MachineRecord> machines_;
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -174,7 +174,7 @@
     if (!j || j->final() || !j->spec) continue;
     if (needs_.owned_shares.ownership().share_of_team(j->spec->team) != s) continue;
     guards.push_back({kJob + id, j->version});
-    writes.push_back({kJob + id, job::cancelled_value(*j, platform_.value_room()), {}, false});
+    writes.push_back({kJob + id, job::cancelled_record_json(*j, platform_.value_room()), {}, false});
     ids.push_back(id);
     if (ids.size() >= std::min(needs_.store.txn_ops(), cancel_batch_)) break;
   }
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -4,13 +4,13 @@
 
 #include <algorithm>
 
-#include "fleet/provisioner_terms.h"
+#include "fleet/provisioner_internal.h"
 
 namespace aspenwick::fleet {
 namespace {
-constexpr Micros kDeleteAgain = 4 * kSecond;
-constexpr std::int64_t kMostRooms = 1'000'000;
-constexpr Micros kLeftAlone = 4 * kSecond;
+constexpr Micros kDeleteRetryInterval = 4 * kSecond;
+constexpr std::int64_t kMaxTasksPerMachine = 1'000'000;
+constexpr Micros kMinUnusedTime = 4 * kSecond;
 }  // namespace
 
 std::size_t Provisioner::type_index(const std::string& name) const {
@@ -19,7 +19,7 @@
   return i;
 }
 
-void Provisioner::prices(const std::vector<wire::MachineType>& current) {
+void Provisioner::set_spot_prices(const std::vector<wire::MachineType>& current) {
   for (const auto& t : current) spot_price_[t.name] = t.spot_price;
 }
 
@@ -28,37 +28,41 @@
   std::set<std::string> seen;
   for (const auto& c : machines) {
     seen.insert(c.id);
-    if (c.state == "failed") failed_.try_emplace(c.id, now);
+    if (c.state == "failed") failed_since_.try_emplace(c.id, now);
     if (records.contains(c.id) || deleting_.contains(c.id)) continue;
     auto [it, added] = booting_.try_emplace(c.id);
-    Booting& b = it->second;
+    BootingMachine& b = it->second;
     if (added) {
       b.type = type_index(c.type), b.zone = c.zone, b.spot = c.spot;
-      b.rented = now - c.age;
+      b.rented_at = now - c.age;
     }
     b.was_listed = true;
     b.last_listed = now;
   }
-  // Listed once, it stays listed until it is gone; a list may be older than the one before.
+  // Listed once, it stays listed until it is to_delete; a list may be older than the one before.
   std::erase_if(booting_, [&](const auto& e) {
     if (seen.contains(e.first)) return false;
-    const Micros quiet = now - (e.second.was_listed ? e.second.last_listed : e.second.rented);
-    return quiet > 4 * platform_.list_lag;
+    const Micros unlisted_for = now - (e.second.was_listed ? e.second.last_listed : e.second.rented_at);
+    return unlisted_for > 4 * platform_.list_lag;
   });
-  std::erase_if(failed_, [&](const auto& e) { return !seen.contains(e.first); });
+  std::erase_if(failed_since_, [&](const auto& e) { return !seen.contains(e.first); });
   std::erase_if(deleting_, [&](const auto& e) {
     return now - e.second > 6 * platform_.list_lag && !seen.contains(e.first);
   });
 }
 
-void Provisioner::rented(const Rent& rent, int status, const std::vector<std::string>& ids, Micros now) {
-  if (auto it = std::find(asked_.begin(), asked_.end(), rent); it != asked_.end()) asked_.erase(it);
-  const auto key = offer(types_[rent.type].name, rent.zone, rent.spot);
+void Provisioner::rented(const RentMachines& rent, int status, const std::vector<std::string>& ids,
+                         Micros now) {
+  if (auto it = std::find(unanswered_rents_.begin(), unanswered_rents_.end(), rent);
+      it != unanswered_rents_.end())
+    unanswered_rents_.erase(it);
+  const auto key = offer_name(types_[rent.type].name, rent.zone, rent.spot);
   if (status != 200 || static_cast<int>(ids.size()) < rent.count)
     refused_until_[key] = now + settings_.refused_for;
   for (const auto& id : ids) {
-    Booting b;
-    b.type = rent.type, b.zone = rent.zone, b.spot = rent.spot, b.rented = now, b.claimed_by = rent.share;
+    BootingMachine b;
+    b.type = rent.type, b.zone = rent.zone, b.spot = rent.spot, b.rented_at = now,
+    b.claimed_by_share = rent.share;
     booting_.emplace(id, std::move(b));
   }
   spdlog::info("rent {} x{}: {} ({} machines)", key, rent.count, status, ids.size());
@@ -71,169 +75,179 @@
       continue;
     }
     booting_.erase(id);
-    failed_.erase(id);
+    failed_since_.erase(id);
   }
 }
 
 int Provisioner::share_for(const std::string& machine, const std::string&, int shares) {
   auto it = booting_.find(machine);
-  if (it != booting_.end() && it->second.claimed_by >= 0) return it->second.claimed_by;
+  if (it != booting_.end() && it->second.claimed_by_share >= 0) return it->second.claimed_by_share;
   // A share without a team has no use for it.
-  const int served = std::clamp(static_cast<int>(platform_.teams.size()), 1, std::max(1, shares));
-  return turn_++ % served;
+  const int shares_with_teams = std::clamp(static_cast<int>(platform_.teams.size()), 1, std::max(1, shares));
+  return next_adopting_share_++ % shares_with_teams;
 }
 
-std::uint32_t Provisioner::rooms_in(const share::Demand& d, const wire::Resources& room) const {
-  return static_cast<std::uint32_t>(d.need.times_in(room, kMostRooms));
+std::uint32_t Provisioner::tasks_fitting(const share::Demand& d, const wire::Resources& capacity) const {
+  return static_cast<std::uint32_t>(d.need.times_in(capacity, kMaxTasksPerMachine));
 }
 
-bool Provisioner::suits(const Want& w, std::size_t type, const std::string& zone, bool spot) const {
-  const auto& d = w.demand;
+bool Provisioner::matches_constraints(const PendingDemand& pending, std::size_t type, const std::string& zone,
+                                      bool spot) const {
+  const auto& d = pending.demand;
   if (type >= types_.size() || (type < 64 && !(d.types >> type & 1))) return false;
   if (spot && !d.spot) return false;
   const auto z = std::find(platform_.zones.begin(), platform_.zones.end(), zone) - platform_.zones.begin();
   if (d.zone != 255 && z != d.zone) return false;
   if (z < 32 && (d.closed_zones >> z & 1)) return false;
   if (d.per_zone > 0) {
-    auto it = w.zones.find(zone);
-    if (it != w.zones.end() && it->second >= d.per_zone) return false;
+    auto it = pending.assigned_by_zone.find(zone);
+    if (it != pending.assigned_by_zone.end() && it->second >= d.per_zone) return false;
   }
   return true;
 }
 
-bool Provisioner::usable(const Want& w, const Room& r) const {
-  if (!suits(w, r.type, r.zone, r.spot)) return false;
-  if (w.demand.plain_only && types_[r.type].total.gpus > 0) return false;  // as its owner does
+bool Provisioner::can_use(const PendingDemand& pending, const MachineCapacity& machine) const {
+  if (!matches_constraints(pending, machine.type, machine.zone, machine.spot)) return false;
+  if (pending.demand.plain_only && types_[machine.type].total.gpus > 0) return false;  // as its owner does
   // As the owner does: only work that can make way shares a machine with GPU work.
-  return w.demand.need.gpus > 0 || r.type >= gpu_wanted_.size() || !gpu_wanted_[r.type] ||
-         w.demand.any_room ||
-         (w.demand.rank == wire::Rank::low && w.demand.shape == wire::Shape::array && !r.booting);
+  return pending.demand.need.gpus > 0 || machine.type >= gpu_work_types_.size() ||
+         !gpu_work_types_[machine.type] || pending.demand.any_room ||
+         (pending.demand.rank == wire::Rank::low && pending.demand.shape == wire::Shape::array &&
+          !machine.booting);
 }
 
-std::uint32_t Provisioner::fill(Want& w, Room& r) const {
+std::uint32_t Provisioner::assign_tasks(PendingDemand& pending, MachineCapacity& machine) const {
   std::uint32_t n = 0;
-  while (w.left > 0 && usable(w, r) && w.demand.need.fits_in(r.free)) {
-    if (w.demand.need.gpus > 0) r.gpu_touched = true;
-    r.free -= w.demand.need;
-    r.touched = true;
-    --w.left, ++w.fitted, ++n;
-    if (w.demand.per_zone > 0) ++w.zones[r.zone];
+  while (pending.remaining > 0 && can_use(pending, machine) && pending.demand.need.fits_in(machine.free)) {
+    if (pending.demand.need.gpus > 0) machine.reserved_for_gpu = true;
+    machine.free -= pending.demand.need;
+    machine.reserved = true;
+    --pending.remaining, ++pending.assigned, ++n;
+    if (pending.demand.per_zone > 0) ++pending.assigned_by_zone[machine.zone];
   }
   return n;
 }
 
 // ---------------------------------------------------------------- the view
 
-void Provisioner::condemn_lost(Plan& plan, const std::map<std::string, MachineRecord>& records) {
-  Delete gone;
-  auto condemn = [&](const std::string& id) {
+void Provisioner::delete_failed_machines(Plan& plan, const std::map<std::string, MachineRecord>& records) {
+  DeleteMachines to_delete;
+  auto request_delete = [&](const std::string& id) {
     auto [it, added] = deleting_.try_emplace(id, plan.now);
-    if (!added && plan.now - it->second < kDeleteAgain) return;
+    if (!added && plan.now - it->second < kDeleteRetryInterval) return;
     it->second = plan.now;
-    if (gone.machines.size() < 50) gone.machines.push_back(id);
+    if (to_delete.machines.size() < 50) to_delete.machines.push_back(id);
   };
   for (const auto& [id, m] : records)
-    if (m.share < 0) condemn(id);
+    if (m.share < 0) request_delete(id);
   // What has a record is up, whatever an answer of the cloud says: it must not be taken for a straggler.
   std::erase_if(booting_, [&](const auto& b) { return records.contains(b.first); });
   for (const auto& [id, b] : booting_) {
     const Micros boot = b.type < types_.size() ? types_[b.type].boot : 0;
     const auto limit = static_cast<Micros>(settings_.straggler_factor * static_cast<double>(boot)) +
                        settings_.straggler_extra;
-    if (plan.now - b.rented > limit || failed_.contains(id)) condemn(id);
+    if (plan.now - b.rented_at > limit || failed_since_.contains(id)) request_delete(id);
   }
-  if (!gone.machines.empty()) plan.actions.emplace_back(gone);
+  if (!to_delete.machines.empty()) plan.actions.emplace_back(to_delete);
 }
 
-void Provisioner::gather(Plan& plan, const std::vector<ShareSaid>& shares,
-                         const std::map<std::string, MachineRecord>& records) {
-  gpu_wanted_.resize(types_.size());
+void Provisioner::collect_demand_and_capacity(Plan& plan, const std::vector<ShareSaid>& shares,
+                                              const std::map<std::string, MachineRecord>& records) {
+  gpu_work_types_.resize(types_.size());
   for (const auto& s : shares)
     for (const auto& d : s.demands) {
-      plan.wants.push_back({s.share, d, d.waiting, 0, false, {}});
-      if (can_wait(d)) plan.low_running[s.share] += d.running;
+      plan.pending_demands.push_back({s.share, d, d.waiting, 0, false, {}});
+      if (is_deferrable(d)) plan.running_deferrable[s.share] += d.running;
       for (std::size_t t = 0; t < types_.size() && t < 64; ++t)
-        if (d.need.gpus > 0 && (d.types >> t & 1)) gpu_wanted_[t] = true;
+        if (d.need.gpus > 0 && (d.types >> t & 1)) gpu_work_types_[t] = true;
     }
   std::erase_if(draining_, [&](const auto& d) { return plan.now >= d.second.second; });
   for (const auto& s : shares)
     for (const auto& m : s.machines) {
-      auto rec = records.find(m.id);
-      if (rec == records.end() || rec->second.share != s.share) continue;
+      auto record = records.find(m.id);
+      if (record == records.end() || record->second.share != s.share) continue;
       if (m.empty && ((m.lapsed && m.idle_ms * kMillisecond >= settings_.lapsed_after) || m.suspect)) {
-        plan.actions.emplace_back(Move{m.id, s.share, -1});
+        plan.actions.emplace_back(MoveMachine{m.id, s.share, -1});
         continue;
       }
-      auto given = draining_.find(m.id);
-      if (given != draining_.end() && given->second.first == s.share)
-        draining_.erase(given), given = draining_.end();
-      if (!m.usable && given == draining_.end()) continue;
-      Room r;
-      r.id = m.id, r.share = s.share, r.type = type_index(rec->second.type), r.zone = rec->second.zone;
-      r.spot = rec->second.spot, r.empty = m.empty, r.free = m.free, r.idle_ms = m.idle_ms;
-      r.top_rank = m.top_rank;
-      if (r.type >= types_.size()) continue;
-      const auto& total = types_[r.type].total;
+      auto draining = draining_.find(m.id);
+      if (draining != draining_.end() && draining->second.first == s.share)
+        draining_.erase(draining), draining = draining_.end();
+      if (!m.usable && draining == draining_.end()) continue;
+      MachineCapacity machine;
+      machine.id = m.id, machine.share = s.share, machine.type = type_index(record->second.type),
+      machine.zone = record->second.zone;
+      machine.spot = record->second.spot, machine.empty = m.empty, machine.free = m.free,
+      machine.idle_ms = m.idle_ms;
+      machine.top_rank = m.top_rank;
+      if (machine.type >= types_.size()) continue;
+      const auto& total = types_[machine.type].total;
       // What runs there makes way for GPU work: its room is the GPUs' part of the machine.
-      if (gpu_wanted_[r.type] && r.top_rank == wire::Rank::low && !r.empty && r.free.gpus == total.gpus)
-        r.free = total;
-      r.home = s.share;
+      if (gpu_work_types_[machine.type] && machine.top_rank == wire::Rank::low && !machine.empty &&
+          machine.free.gpus == total.gpus)
+        machine.free = total;
+      machine.owner_share = s.share;
       // Whatever starts there, it is counted anew.
-      auto& left = left_[m.id];
-      if (left.seen == 0 || !left.room.fits_in(m.free)) left = {m.free, plan.now, 0};
-      left.seen = plan.now;
-      r.unused = left.room;
-      r.left_alone = plan.now - left.since >= kLeftAlone;
-      if (given != draining_.end())  // on its way to another share
-        r.share = given->second.first, r.free = total, r.touched = true;
-      plan.rooms.push_back(std::move(r));
+      auto& tracked = unused_capacity_[m.id];
+      if (tracked.last_seen == 0 || !tracked.min_free.fits_in(m.free)) tracked = {m.free, plan.now, 0};
+      tracked.last_seen = plan.now;
+      machine.unused = tracked.min_free;
+      machine.unused_long_enough = plan.now - tracked.since >= kMinUnusedTime;
+      if (draining != draining_.end())  // on its way to another share
+        machine.share = draining->second.first, machine.free = total, machine.reserved = true;
+      plan.capacities.push_back(std::move(machine));
     }
-  std::erase_if(left_, [&](const auto& l) { return l.second.seen != plan.now; });
+  std::erase_if(unused_capacity_, [&](const auto& l) { return l.second.last_seen != plan.now; });
   for (auto& [id, b] : booting_) {
     if (deleting_.contains(id) || b.type >= types_.size()) continue;
-    Room r;
-    r.id = id, r.type = b.type, r.zone = b.zone, r.spot = b.spot, r.booting = true;
-    r.free = types_[b.type].total;
-    plan.rooms.push_back(std::move(r));
+    MachineCapacity machine;
+    machine.id = id, machine.type = b.type, machine.zone = b.zone, machine.spot = b.spot,
+    machine.booting = true;
+    machine.free = types_[b.type].total;
+    plan.capacities.push_back(std::move(machine));
   }
-  for (const auto& a : asked_)
+  for (const auto& a : unanswered_rents_)
     for (int i = 0; i < a.count; ++i) {
-      Room r;
-      r.type = a.type, r.zone = a.zone, r.spot = a.spot, r.booting = true;
-      r.free = types_[a.type].total;
-      plan.rooms.push_back(std::move(r));
+      MachineCapacity machine;
+      machine.type = a.type, machine.zone = a.zone, machine.spot = a.spot, machine.booting = true;
+      machine.free = types_[a.type].total;
+      plan.capacities.push_back(std::move(machine));
     }
-  std::stable_sort(plan.wants.begin(), plan.wants.end(), [](const Want& a, const Want& b) {
-    return a.demand.rank != b.demand.rank ? a.demand.rank > b.demand.rank
-                                          : a.demand.slack_ms < b.demand.slack_ms;
-  });
-  std::stable_sort(plan.rooms.begin(), plan.rooms.end(), [](const Room& a, const Room& b) {
-    return a.spot != b.spot ? a.spot : a.free.cpus < b.free.cpus;
-  });
+  std::stable_sort(plan.pending_demands.begin(), plan.pending_demands.end(),
+                   [](const PendingDemand& a, const PendingDemand& b) {
+                     return a.demand.rank != b.demand.rank ? a.demand.rank > b.demand.rank
+                                                           : a.demand.slack_ms < b.demand.slack_ms;
+                   });
+  std::stable_sort(plan.capacities.begin(), plan.capacities.end(),
+                   [](const MachineCapacity& a, const MachineCapacity& b) {
+                     return a.spot != b.spot ? a.spot : a.free.cpus < b.free.cpus;
+                   });
 }
 
 std::vector<Action> Provisioner::tick(Micros now, const std::vector<ShareSaid>& shares,
                                       const std::map<std::string, MachineRecord>& records) {
   Plan plan;
   plan.now = now;
-  condemn_lost(plan, records);
-  gather(plan, shares, records);
+  delete_failed_machines(plan, records);
+  collect_demand_and_capacity(plan, shares, records);
   // First every share's own room, then machines that come or can be moved, then renting.
-  for (auto& w : plan.wants) {
-    if (w.demand.shape == wire::Shape::gang) continue;
-    for (auto& r : plan.rooms)
-      if (r.share == w.share && !r.booting && w.left > 0) fill(w, r);
-    if (w.left > 0) plan.wanting.insert(w.share);
+  for (auto& pending : plan.pending_demands) {
+    if (pending.demand.shape == wire::Shape::gang) continue;
+    for (auto& machine : plan.capacities)
+      if (machine.share == pending.share && !machine.booting && pending.remaining > 0)
+        assign_tasks(pending, machine);
+    if (pending.remaining > 0) plan.shares_short_of_capacity.insert(pending.share);
   }
-  for (auto& w : plan.wants) {
-    serve(plan, w);
-    if (w.left > 0 && w.demand.rank >= wire::Rank::high)
+  for (auto& pending : plan.pending_demands) {
+    satisfy(plan, pending);
+    if (pending.remaining > 0 && pending.demand.rank >= wire::Rank::high)
       spdlog::debug("share {}: no room for {} of {} tasks of rank {}, slack {} ms, closed zones {:b}",
-                    w.share, w.left, w.demand.waiting, static_cast<int>(w.demand.rank), w.demand.slack_ms,
-                    w.demand.closed_zones);
+                    pending.share, pending.remaining, pending.demand.waiting,
+                    static_cast<int>(pending.demand.rank), pending.demand.slack_ms,
+                    pending.demand.closed_zones);
   }
-  level(plan);
-  give_back(plan);
+  rebalance(plan);
+  release_idle_machines(plan);
   return std::move(plan.actions);
 }
 
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -14,45 +14,45 @@
 using share::MachineRecord;
 using share::ShareSaid;
 
-struct RenterSettings {
+struct ProvisionerSettings {
   Micros idle_after = 40 * kSecond;           // an empty machine goes back
   Micros idle_gpu_after = 20 * kSecond;       // one with GPUs, which costs many times as much
   Micros idle_spot_gpu_after = 45 * kSecond;  // a cheap one keeps its images warm
   Micros lapsed_after = 8 * kSecond;          // a machine whose worker is gone goes back
   Micros refused_for = 12 * kSecond;          // after "no capacity"
-  Micros drain_every = 1 * kSecond;           // machines taken from lower-ranking work
-  double dear_factor = 3;                     // an offer this much above the cheapest only for urgent work
+  Micros drain_interval = 1 * kSecond;        // machines taken from lower-ranking work
+  double expensive_price_factor = 3;          // an offer this much above the cheapest only for urgent work
   double straggler_factor = 2.5;              // of the nominal boot time
   Micros straggler_extra = 15 * kSecond;
-  Micros move_idle = kSecond;  // an empty machine may be moved after this
+  Micros min_idle_before_move = kSecond;  // an empty machine may be moved after this
   Micros level_above =
       60 * kSecond;  // a share with more work in hand gets machines that run empty elsewhere; 0: never
   Micros patience = 40 * kSecond;  // low-priority work should drain in about this time
-  double slack_part = 0.85;        // of its slack, before dear machines are rented for low-priority work
+  double slack_fraction = 0.85;    // of its slack, before dear machines are rented for low-priority work
 };
 
-struct Rent {
+struct RentMachines {
   std::size_t type = 0;
   std::string zone;
   bool spot = false;
   int count = 1;
   int share = -1;  // for whose tasks
-  bool operator==(const Rent&) const = default;
+  bool operator==(const RentMachines&) const = default;
 };
-struct Move {
+struct MoveMachine {
   std::string machine;
   int from = 0, to = -1;
   bool drain = false;
   wire::Rank rank = wire::Rank::low;
 };
-struct Delete {
+struct DeleteMachines {
   std::vector<std::string> machines;
 };
-using Action = std::variant<Rent, Move, Delete>;
+using Action = std::variant<RentMachines, MoveMachine, DeleteMachines>;
 
 /// Names of rental requests, never used twice: the cloud answers a name that it knows with the old machines.
 /// They go on after a pause in which we could not lead, as long as the epoch is the same.
-class RequestNames {
+class RentalIdempotencyKeys {
  public:
   std::string next(std::uint64_t epoch) {
     if (epoch != epoch_) epoch_ = epoch, count_ = 0;
@@ -66,14 +66,14 @@
 class Provisioner {
  public:
   Provisioner(const wire::PlatformSettings& platform, const std::vector<wire::MachineType>& types,
-              RenterSettings settings)
+              ProvisionerSettings settings)
       : platform_(platform), types_(types), settings_(settings) {}
 
   void listed(const std::vector<wire::CloudMachine>& machines,
               const std::map<std::string, MachineRecord>& records, Micros now);
-  void rented(const Rent& rent, int status, const std::vector<std::string>& ids, Micros now);
+  void rented(const RentMachines& rent, int status, const std::vector<std::string>& ids, Micros now);
   void deleted(const std::vector<std::string>& ids, bool ok, Micros now);
-  void prices(const std::vector<wire::MachineType>& current);
+  void set_spot_prices(const std::vector<wire::MachineType>& current);
 
   std::vector<Action> tick(Micros now, const std::vector<ShareSaid>& shares,
                            const std::map<std::string, MachineRecord>& records);
@@ -83,107 +83,109 @@
   bool has_booting() const { return !booting_.empty(); }
 
  private:
-  struct Booting {
+  struct BootingMachine {
     std::size_t type = 0;
     std::string zone;
     bool spot = false;
-    Micros rented = 0;
+    Micros rented_at = 0;
     bool was_listed = false;
     Micros last_listed = 0;
-    int claimed_by = -1;
+    int claimed_by_share = -1;
   };
   /// Free room of one machine, up or coming.
-  struct Room {
+  struct MachineCapacity {
     std::string id;  // empty: asked for, not yet answered
     int share = -1;
     std::size_t type = 0;
     std::string zone;
-    bool spot = false, empty = false, touched = false, gpu_touched = false, booting = false;
+    bool spot = false, empty = false, reserved = false, reserved_for_gpu = false, booting = false;
     wire::Resources free;
-    wire::Resources unused;   // beside all that runs there
-    bool left_alone = false;  // so much was unused for some seconds
-    int home = -1;            // the share that has it, also while it is drained for another
+    wire::Resources unused;           // beside all that runs there
+    bool unused_long_enough = false;  // so much was unused for some seconds
+    int owner_share = -1;             // the share that has it, also while it is drained for another
     std::uint32_t idle_ms = 0;
     wire::Rank top_rank = wire::Rank::low;
   };
   /// What a machine had unused at least, and since when.
-  struct Left {
-    wire::Resources room;
-    Micros since = 0, seen = 0;
+  struct UnusedCapacity {
+    wire::Resources min_free;
+    Micros since = 0, last_seen = 0;
   };
-  struct Want {
+  struct PendingDemand {
     int share = 0;
     share::Demand demand;
-    std::uint32_t left = 0, fitted = 0;
-    bool beside_room = false;  // passed over while other shares have room
-    std::map<std::string, std::uint32_t> zones;
+    std::uint32_t remaining = 0, assigned = 0;
+    bool other_share_has_room = false;  // passed over while other shares have room
+    std::map<std::string, std::uint32_t> assigned_by_zone;
   };
   /// What one tick works on.
   struct Plan {
     Micros now = 0;
-    std::vector<Room> rooms;
-    std::vector<Want> wants;
-    std::set<int> wanting;  // shares whose own room does not do
+    std::vector<MachineCapacity> capacities;
+    std::vector<PendingDemand> pending_demands;
+    std::set<int> shares_short_of_capacity;  // shares whose own room does not do
     /// A share's work that can wait, up to the demand at hand in the order of its slack.
     struct Backlog {
-      double work = 0;   // in task seconds
-      double slots = 0;  // that work on it, or will
+      double task_seconds = 0;  // in task seconds
+      double slots = 0;         // that work on it, or will
     };
     std::map<int, Backlog> backlogs;
-    std::map<int, double> low_running;  // tasks of work that can wait, of each share
+    std::map<int, double> running_deferrable;  // tasks of work that can wait, of each share
     std::vector<Action> actions;
-    int rents = 0;
+    int rent_requests = 0;
   };
   struct Offer {
     std::size_t type = 0;
     std::string zone;
     bool spot = false;
-    double cost = 0;  // per task
-    std::uint32_t fits = 0;
+    double cost_per_task = 0;  // per task
+    std::uint32_t tasks_per_machine = 0;
   };
 
-  void condemn_lost(Plan& plan, const std::map<std::string, MachineRecord>& records);
-  void gather(Plan& plan, const std::vector<ShareSaid>& shares,
-              const std::map<std::string, MachineRecord>& records);
-  void serve(Plan& plan, Want& w);
-  void serve_gang(Plan& plan, Want& w);
-  void take_booting(Plan& plan, Want& w);
-  void take_empty(Plan& plan, Want& w);
-  void take_from_lower(Plan& plan, Want& w);
-  bool roomy(const Room& r, const Want& w) const;
-  void drain_roomy(Plan& plan, Room& r, const Want& w);
-  void take_roomy(Plan& plan, Want& w);
-  void keep_draining(Plan& plan, const Want& w);
-  bool only_beside_gpu_work(const Want& w) const;
-  void rent_for(Plan& plan, Want& w);
-  void rent(Plan& plan, const Offer& offer, int count, Want& w);
-  void level(Plan& plan);
-  void give_back(Plan& plan);
-  bool movable(const Room& r, const Want& w) const;
-  bool drainable_for_gpu(const Room& r, const Want& w) const;
-  std::vector<Offer> offers(const Want& w, Micros now, const std::string& only_zone) const;
-  static bool can_wait(const share::Demand& d);
-  std::uint32_t wanted(const Plan& plan, const Want& w, bool dear) const;
-  std::uint32_t fill(Want& w, Room& r) const;
-  bool usable(const Want& w, const Room& r) const;
-  bool suits(const Want& w, std::size_t type, const std::string& zone, bool spot) const;
-  std::uint32_t rooms_in(const share::Demand& d, const wire::Resources& room) const;
+  void delete_failed_machines(Plan& plan, const std::map<std::string, MachineRecord>& records);
+  void collect_demand_and_capacity(Plan& plan, const std::vector<ShareSaid>& shares,
+                                   const std::map<std::string, MachineRecord>& records);
+  void satisfy(Plan& plan, PendingDemand& pending);
+  void satisfy_gang(Plan& plan, PendingDemand& pending);
+  void claim_booting_machines(Plan& plan, PendingDemand& pending);
+  void move_empty_machines(Plan& plan, PendingDemand& pending);
+  void drain_lower_rank_machines(Plan& plan, PendingDemand& pending);
+  bool has_unused_capacity_for(const MachineCapacity& machine, const PendingDemand& pending) const;
+  void drain_underused_machine(Plan& plan, MachineCapacity& machine, const PendingDemand& pending);
+  void drain_underused_machines(Plan& plan, PendingDemand& pending);
+  void renew_drains(Plan& plan, const PendingDemand& pending);
+  bool fits_only_gpu_work_types(const PendingDemand& pending) const;
+  void rent_machines_for(Plan& plan, PendingDemand& pending);
+  void request_rental(Plan& plan, const Offer& offer, int count, PendingDemand& pending);
+  void rebalance(Plan& plan);
+  void release_idle_machines(Plan& plan);
+  bool can_move(const MachineCapacity& machine, const PendingDemand& pending) const;
+  bool can_drain_for_gpu_work(const MachineCapacity& machine, const PendingDemand& pending) const;
+  std::vector<Offer> available_offers(const PendingDemand& pending, Micros now,
+                                      const std::string& only_zone) const;
+  static bool is_deferrable(const share::Demand& d);
+  std::uint32_t tasks_needing_capacity(const Plan& plan, const PendingDemand& pending, bool expensive) const;
+  std::uint32_t assign_tasks(PendingDemand& pending, MachineCapacity& machine) const;
+  bool can_use(const PendingDemand& pending, const MachineCapacity& machine) const;
+  bool matches_constraints(const PendingDemand& pending, std::size_t type, const std::string& zone,
+                           bool spot) const;
+  std::uint32_t tasks_fitting(const share::Demand& d, const wire::Resources& capacity) const;
   std::size_t type_index(const std::string& name) const;
 
   const wire::PlatformSettings& platform_;
   const std::vector<wire::MachineType>& types_;
-  RenterSettings settings_;
-  std::map<std::string, Booting> booting_;
-  std::vector<Rent> asked_;  // not yet answered: their machines count as coming
+  ProvisionerSettings settings_;
+  std::map<std::string, BootingMachine> booting_;
+  std::vector<RentMachines> unanswered_rents_;  // not yet answered: their machines count as coming
   std::map<std::string, Micros> refused_until_;
   std::map<std::string, Micros> deleting_;
   std::map<std::string, double> spot_price_;
-  std::map<std::string, Micros> failed_;
+  std::map<std::string, Micros> failed_since_;
   std::map<std::string, std::pair<int, Micros>> draining_;  // machine -> share that gets it, until
-  std::map<std::string, Left> left_;                        // by machine
-  std::vector<bool> gpu_wanted_;
-  Micros next_drain_ = 0, next_gentle_ = 0, next_level_ = 0;
-  int turn_ = 0;
+  std::map<std::string, UnusedCapacity> unused_capacity_;   // by machine
+  std::vector<bool> gpu_work_types_;
+  Micros next_drain_ = 0, next_consolidation_ = 0, next_rebalance_ = 0;
+  int next_adopting_share_ = 0;
 };
 
 }  // namespace aspenwick::fleet
--- /dev/null
+++ b/src/fleet/provisioner_releasing.cpp
@@ -0,0 +1,64 @@
+// Machines that are no longer needed: drained where dear, and given back.
+#include "fleet/provisioner.h"
+#include "fleet/provisioner_internal.h"
+
+namespace aspenwick::fleet {
+namespace {
+constexpr Micros kSpotMoveAfterIdle = 6 * kSecond;
+}  // namespace
+
+// ---------------------------------------------------------------- giving back
+
+void Provisioner::release_idle_machines(Plan& plan) {
+  // A dear machine whose share has room enough elsewhere takes no more tasks, and goes back when it is empty.
+  for (const auto& machine : plan.capacities) {
+    if (plan.now < next_consolidation_ || machine.booting || machine.empty ||
+        plan.shares_short_of_capacity.contains(machine.share) || draining_.contains(machine.id))
+      continue;
+    const auto& total = types_[machine.type].total;
+    if (total.gpus == 0 || gpu_work_types_[machine.type] || machine.spot ||
+        machine.top_rank >= wire::Rank::production)
+      continue;
+    std::int64_t free_elsewhere = 0;
+    for (const auto& o : plan.capacities)
+      if (o.share == machine.share && o.id != machine.id && !o.booting && !draining_.contains(o.id))
+        free_elsewhere += o.free.cpus;
+    if (free_elsewhere < 2 * (total.cpus - machine.free.cpus)) continue;
+    next_consolidation_ = plan.now + settings_.drain_interval;
+    draining_[machine.id] = {-1, plan.now + kGracefulDrainTime};
+    plan.actions.emplace_back(MoveMachine{machine.id, machine.share, -1, true, wire::Rank::low});
+  }
+  // While ordinary machines of a type are rented, a spot one that is idle for a moment would be missed.
+  // Gangs that run on ordinary ones move to it, if their share has it.
+  std::map<std::size_t, std::set<int>> on_demand_users;  // type -> shares that use some
+  for (const auto& machine : plan.capacities)
+    if (!machine.spot && !draining_.contains(machine.id))
+      on_demand_users[machine.type].insert(machine.booting || machine.empty ? -1 : machine.share);
+  for (const auto& machine : plan.capacities) {
+    if (machine.booting || draining_.contains(machine.id)) continue;
+    const Micros idle = machine.idle_ms * kMillisecond;
+    if (gpu_work_types_[machine.type]) {
+      if (auto o = on_demand_users.find(machine.type);
+          machine.spot && o != on_demand_users.end() && idle < 2 * settings_.idle_spot_gpu_after) {
+        const int user_share = *o->second.rbegin();
+        if (machine.empty && !machine.reserved_for_gpu && user_share >= 0 &&
+            !o->second.contains(machine.share) && idle >= kSpotMoveAfterIdle)
+          plan.actions.emplace_back(MoveMachine{machine.id, machine.share, user_share});
+        continue;
+      }
+      if (machine.reserved_for_gpu ||
+          idle < (machine.spot ? settings_.idle_spot_gpu_after : settings_.idle_gpu_after) ||
+          machine.top_rank > wire::Rank::low)
+        continue;
+      if (!machine.empty) draining_[machine.id] = {-1, plan.now + kPreemptingDrainTime};
+      plan.actions.emplace_back(
+          MoveMachine{machine.id, machine.share, -1, !machine.empty, wire::Rank::normal});
+    } else if (!machine.reserved && machine.empty &&
+               idle >=
+                   (types_[machine.type].total.gpus > 0 ? settings_.idle_gpu_after : settings_.idle_after)) {
+      plan.actions.emplace_back(MoveMachine{machine.id, machine.share, -1});
+    }
+  }
+}
+
+}  // namespace aspenwick::fleet
--- a/src/job/graph.cpp
+++ b/src/job/graph.cpp
@@ -4,56 +4,56 @@
 
 namespace aspenwick::job {
 namespace {
-constexpr Micros kBetween = 5 * kSecond;  // of a stage, whatever it runs: image, reports, records
-constexpr double kNewPart = 0.2;          // of the newest stage in what its class's history tells
-constexpr std::uint32_t kEnough = 4;      // jobs of a class before its history tells of others
+constexpr Micros kStageOverhead = 5 * kSecond;  // of a stage, whatever it runs: image, reports, records
+constexpr double kHistoryWeight = 0.2;          // of the newest stage in what its class's history tells
+constexpr std::uint32_t kMinHistoryJobs = 4;    // jobs of a class before its history tells of others
 }  // namespace
 
-Graph::Node& Graph::node(const std::string& id) {
+DependencyGraph::Node& DependencyGraph::find_or_create_node(const std::string& id) {
   auto [it, added] = nodes_.try_emplace(id);
   if (added) it->second.id = id;
   return it->second;
 }
 
-bool Graph::ready(const std::string& id) const {
+bool DependencyGraph::is_ready(const std::string& id) const {
   auto it = nodes_.find(id);
-  return it == nodes_.end() || (it->second.open == 0 && !it->second.doomed);
+  return it == nodes_.end() || (it->second.open_dependencies == 0 && !it->second.dependency_cancelled);
 }
-bool Graph::doomed(const std::string& id) const {
+bool DependencyGraph::has_cancelled_dependency(const std::string& id) const {
   auto it = nodes_.find(id);
-  return it != nodes_.end() && it->second.doomed;
+  return it != nodes_.end() && it->second.dependency_cancelled;
 }
-bool Graph::whole(const std::string& id) const {
+bool DependencyGraph::dependencies_known(const std::string& id) const {
   auto it = nodes_.find(id);
   if (it == nodes_.end()) return true;
-  std::vector<const Node*> next{&it->second};
+  std::vector<const Node*> worklist{&it->second};
   std::set<const Node*> seen{&it->second};
-  while (!next.empty()) {
-    const Node& n = *next.back();
-    next.pop_back();
+  while (!worklist.empty()) {
+    const Node& n = *worklist.back();
+    worklist.pop_back();
     if (!n.known && n.status == JobStatus::queued) return false;
-    for (const Node* m : n.needs)
-      if (m->status == JobStatus::queued && seen.insert(m).second) next.push_back(m);
+    for (const Node* needed : n.dependencies)
+      if (needed->status == JobStatus::queued && seen.insert(needed).second) worklist.push_back(needed);
   }
   return true;
 }
-std::uint64_t Graph::ready_version(const std::string& id) const {
+std::uint64_t DependencyGraph::ready_version(const std::string& id) const {
   auto it = nodes_.find(id);
   return it == nodes_.end() ? 0 : it->second.ready_version;
 }
 
-void Graph::update(const std::string& id, const JobRecord& record) {
+void DependencyGraph::update(const std::string& id, const JobRecord& record) {
   auto it = nodes_.find(id);
   if (it == nodes_.end() && record.spec && record.status == JobStatus::queued)
     ++history_[record.spec->job_class].jobs;
   if (it == nodes_.end() && (!record.spec || record.spec->needs.empty())) return;
-  Node& n = it == nodes_.end() ? node(id) : it->second;
-  if (!n.known && record.spec) learn(n, record);
+  Node& n = it == nodes_.end() ? find_or_create_node(id) : it->second;
+  if (!n.known && record.spec) add_spec(n, record);
   if (record.status == JobStatus::done && n.status != JobStatus::done) record_done(n, record);
   if (record.status == JobStatus::cancelled && n.status != JobStatus::cancelled) record_cancelled(n);
 }
 
-void Graph::learn(Node& n, const JobRecord& record) {
+void DependencyGraph::add_spec(Node& n, const JobRecord& record) {
   const JobSpec& spec = *record.spec;
   n.known = true;
   n.job_class = spec.job_class;
@@ -61,39 +61,39 @@
   n.submitted = n.ready = record.submitted;
   n.estimate = spec.estimate;
   if (spec.deadline) n.deadline = n.finish_by = record.submitted + *spec.deadline;
-  n.own = n.rank = spec.rank;
-  if (!n.dependents.empty()) ++history_[n.job_class].followed;
-  for (const Node* d : n.dependents)
-    if (d->undecided()) raise(n, *d);
+  n.own_rank = n.rank = spec.rank;
+  if (!n.dependents.empty()) ++history_[n.job_class].jobs_with_dependents;
+  for (const Node* dependent : n.dependents)
+    if (dependent->undecided()) raise_priority(n, *dependent);
   for (const auto& id : spec.needs) {
-    Node& m = node(id);
-    if (&m == &n) continue;
-    if (const JobRecord* r = m.known || m.status != JobStatus::queued ? nullptr : lookup_(id)) {
+    Node& needed = find_or_create_node(id);
+    if (&needed == &n) continue;
+    if (const JobRecord* r = needed.known || needed.status != JobStatus::queued ? nullptr : lookup_(id)) {
       // It needs nothing itself, or it would have a node of its own by now.
-      if (r->spec && r->spec->needs.empty()) learn(m, *r);
-      if (r->status == JobStatus::done) record_done(m, *r);
-      if (r->status == JobStatus::cancelled) record_cancelled(m);
+      if (r->spec && r->spec->needs.empty()) add_spec(needed, *r);
+      if (r->status == JobStatus::done) record_done(needed, *r);
+      if (r->status == JobStatus::cancelled) record_cancelled(needed);
     }
-    n.needs.push_back(&m);
-    m.dependents.push_back(&n);
-    if (m.known && m.dependents.size() == 1) ++history_[m.job_class].followed;
-    if (m.status == JobStatus::done) {
-      n.ready_version = std::max(n.ready_version, m.version);
-      n.ready = std::max(n.ready, m.finished);
+    n.dependencies.push_back(&needed);
+    needed.dependents.push_back(&n);
+    if (needed.known && needed.dependents.size() == 1) ++history_[needed.job_class].jobs_with_dependents;
+    if (needed.status == JobStatus::done) {
+      n.ready_version = std::max(n.ready_version, needed.version);
+      n.ready = std::max(n.ready, needed.finished);
     } else {
-      ++n.open;
+      ++n.open_dependencies;
     }
-    if (m.doomed || m.status == JobStatus::cancelled) n.doomed = true;
+    if (needed.dependency_cancelled || needed.status == JobStatus::cancelled) n.dependency_cancelled = true;
   }
-  if (n.doomed && record.status == JobStatus::queued) {
+  if (n.dependency_cancelled && record.status == JobStatus::queued) {
     to_cancel_.insert(n.id);
-    doom_below(n);
+    mark_dependents_cancelled(n);
   }
-  mark(n);
-  if (n.undecided()) raise_above(n);
+  mark_changed(n);
+  if (n.undecided()) propagate_to_dependencies(n);
 }
 
-void Graph::record_done(Node& n, const JobRecord& record) {
+void DependencyGraph::record_done(Node& n, const JobRecord& record) {
   n.status = JobStatus::done;
   n.version = record.version;
   // A record by a version that kept no time: what waits counts from its own submission.
@@ -101,54 +101,57 @@
   if (n.known) {
     ClassHistory& h = history_[n.job_class];
     if (n.finished > n.ready && n.ready > 0) {
-      const double seen = to_seconds(n.finished - n.ready) / to_seconds(n.estimate + kBetween);
-      h.length += kNewPart * (std::clamp(seen, 0.5, 4.0) - h.length);
+      const double measured_factor =
+          to_seconds(n.finished - n.ready) / to_seconds(n.estimate + kStageOverhead);
+      h.duration_factor += kHistoryWeight * (std::clamp(measured_factor, 0.5, 4.0) - h.duration_factor);
     }
     if (!n.dependents.empty() && n.finish_by) {
-      const double tail = to_seconds(*n.finish_by - n.submitted);
-      h.tail = h.tail == 0 ? tail : h.tail + kNewPart * (tail - h.tail);
+      const double newest = to_seconds(*n.finish_by - n.submitted);
+      h.finish_by_seconds = h.finish_by_seconds == 0
+                                ? newest
+                                : h.finish_by_seconds + kHistoryWeight * (newest - h.finish_by_seconds);
     }
   }
-  for (Node* d : n.dependents) {
-    d->ready_version = std::max(d->ready_version, n.version);
-    d->ready = std::max(d->ready, n.finished);
-    if (--d->open == 0) mark(*d);
+  for (Node* dependent : n.dependents) {
+    dependent->ready_version = std::max(dependent->ready_version, n.version);
+    dependent->ready = std::max(dependent->ready, n.finished);
+    if (--dependent->open_dependencies == 0) mark_changed(*dependent);
   }
 }
 
-void Graph::record_cancelled(Node& n) {
+void DependencyGraph::record_cancelled(Node& n) {
   n.status = JobStatus::cancelled;
   to_cancel_.erase(n.id);
-  doom_below(n);
-  reconsider(n.needs);
+  mark_dependents_cancelled(n);
+  recompute_priorities(n.dependencies);
 }
 
 /// All that needs it, directly or through others; step by step, as chains may be long.
-void Graph::doom_below(Node& n) {
-  std::deque<Node*> next{&n};
-  std::vector<Node*> granted;
-  while (!next.empty()) {
-    Node& from = *next.front();
-    next.pop_front();
-    for (Node* d : from.dependents) {
-      if (d->doomed) continue;
-      d->doomed = true;
-      if (d->status == JobStatus::queued) to_cancel_.insert(d->id);
-      mark(*d);
-      next.push_back(d);
-      granted.insert(granted.end(), d->needs.begin(), d->needs.end());
+void DependencyGraph::mark_dependents_cancelled(Node& n) {
+  std::deque<Node*> worklist{&n};
+  std::vector<Node*> affected;
+  while (!worklist.empty()) {
+    Node& from = *worklist.front();
+    worklist.pop_front();
+    for (Node* dependent : from.dependents) {
+      if (dependent->dependency_cancelled) continue;
+      dependent->dependency_cancelled = true;
+      if (dependent->status == JobStatus::queued) to_cancel_.insert(dependent->id);
+      mark_changed(*dependent);
+      worklist.push_back(dependent);
+      affected.insert(affected.end(), dependent->dependencies.begin(), dependent->dependencies.end());
     }
   }
-  reconsider(std::move(granted));
+  recompute_priorities(std::move(affected));
 }
 
-void Graph::mark(Node& n) {
+void DependencyGraph::mark_changed(Node& n) {
   if (n.changed) return;
   n.changed = true;
   changed_.push_back(&n);
 }
 
-std::vector<std::string> Graph::take_changed() {
+std::vector<std::string> DependencyGraph::take_changed() {
   std::vector<std::string> out;
   out.reserve(changed_.size());
   for (Node* n : changed_) {
@@ -161,100 +164,104 @@
 
 // ---------------------------------------------------------------- priority and deadlines
 
-Micros Graph::length(const Node& n) const {
+Micros DependencyGraph::expected_duration(const Node& n) const {
   auto h = history_.find(n.job_class);
-  return static_cast<Micros>(static_cast<double>(n.estimate + kBetween) *
-                             (h == history_.end() ? ClassHistory{}.length : h->second.length));
+  return static_cast<Micros>(
+      static_cast<double>(n.estimate + kStageOverhead) *
+      (h == history_.end() ? ClassHistory{}.duration_factor : h->second.duration_factor));
 }
 
-bool Graph::raise(Node& m, const Node& by) const {
+bool DependencyGraph::raise_priority(Node& needed, const Node& by) const {
   bool raised = false;
-  if (by.rank > m.rank) m.rank = by.rank, raised = true;
+  if (by.rank > needed.rank) needed.rank = by.rank, raised = true;
   if (by.finish_by) {
-    const Micros before = *by.finish_by - length(by);
-    if (!m.finish_by || before < *m.finish_by) m.finish_by = before, raised = true;
+    const Micros before = *by.finish_by - expected_duration(by);
+    if (!needed.finish_by || before < *needed.finish_by) needed.finish_by = before, raised = true;
   }
   return raised;
 }
 
 /// What it grants reaches all that it needs. Nothing is looked at twice but what is raised again.
-void Graph::raise_above(Node& n) {
-  std::deque<Node*> next{&n};
-  while (!next.empty()) {
-    Node& from = *next.front();
-    next.pop_front();
-    from.queued = false;
-    for (Node* m : from.needs) {
-      if (!m->undecided() || !raise(*m, from)) continue;
-      mark(*m);
-      if (!m->queued) m->queued = true, next.push_back(m);
+void DependencyGraph::propagate_to_dependencies(Node& n) {
+  std::deque<Node*> worklist{&n};
+  while (!worklist.empty()) {
+    Node& from = *worklist.front();
+    worklist.pop_front();
+    from.in_worklist = false;
+    for (Node* needed : from.dependencies) {
+      if (!needed->undecided() || !raise_priority(*needed, from)) continue;
+      mark_changed(*needed);
+      if (!needed->in_worklist) needed->in_worklist = true, worklist.push_back(needed);
     }
   }
 }
 
 /// After a dependent has ended: what it granted is taken back, as far up as it had gone.
-void Graph::reconsider(std::vector<Node*> from) {
-  std::deque<Node*> next;
+void DependencyGraph::recompute_priorities(std::vector<Node*> from) {
+  std::deque<Node*> worklist;
   for (Node* n : from)
-    if (!n->queued && n->undecided()) n->queued = true, next.push_back(n);
-  while (!next.empty()) {
-    Node& n = *next.front();
-    next.pop_front();
-    n.queued = false;
+    if (!n->in_worklist && n->undecided()) n->in_worklist = true, worklist.push_back(n);
+  while (!worklist.empty()) {
+    Node& n = *worklist.front();
+    worklist.pop_front();
+    n.in_worklist = false;
     const auto before = std::pair{n.rank, n.finish_by};
-    n.rank = n.own, n.finish_by = n.deadline;
-    for (const Node* d : n.dependents)
-      if (d->undecided()) raise(n, *d);
+    n.rank = n.own_rank, n.finish_by = n.deadline;
+    for (const Node* dependent : n.dependents)
+      if (dependent->undecided()) raise_priority(n, *dependent);
     if (before == std::pair{n.rank, n.finish_by}) continue;
-    mark(n);
-    for (Node* m : n.needs)
-      if (!m->queued && m->undecided()) m->queued = true, next.push_back(m);
+    mark_changed(n);
+    for (Node* needed : n.dependencies)
+      if (!needed->in_worklist && needed->undecided()) needed->in_worklist = true, worklist.push_back(needed);
   }
 }
 
-void Graph::replan() {
+void DependencyGraph::recompute_finish_times() {
   // From the last jobs up: each once, after all that need it.
-  std::unordered_map<Node*, std::size_t> waiting;
-  std::deque<Node*> next;
+  std::unordered_map<Node*, std::size_t> unvisited_dependents;
+  std::deque<Node*> worklist;
   for (auto& [id, n] : nodes_) {
     if (!n.known || !n.undecided()) continue;
-    const auto after = std::count_if(n.dependents.begin(), n.dependents.end(),
-                                     [](const Node* d) { return d->known && d->undecided(); });
-    if (after == 0) next.push_back(&n);
-    waiting[&n] = static_cast<std::size_t>(after);
+    const auto undecided_dependents =
+        std::count_if(n.dependents.begin(), n.dependents.end(),
+                      [](const Node* dependent) { return dependent->known && dependent->undecided(); });
+    if (undecided_dependents == 0) worklist.push_back(&n);
+    unvisited_dependents[&n] = static_cast<std::size_t>(undecided_dependents);
   }
-  while (!next.empty()) {
-    Node& n = *next.front();
-    next.pop_front();
+  while (!worklist.empty()) {
+    Node& n = *worklist.front();
+    worklist.pop_front();
     const auto before = n.finish_by;
     n.finish_by = n.deadline;
-    for (const Node* d : n.dependents)
-      if (d->undecided()) raise(n, *d);
-    if (before != n.finish_by) mark(n);
-    for (Node* m : n.needs)
-      if (auto w = waiting.find(m); w != waiting.end() && --w->second == 0) next.push_back(m);
+    for (const Node* dependent : n.dependents)
+      if (dependent->undecided()) raise_priority(n, *dependent);
+    if (before != n.finish_by) mark_changed(n);
+    for (Node* needed : n.dependencies)
+      if (auto left = unvisited_dependents.find(needed);
+          left != unvisited_dependents.end() && --left->second == 0)
+        worklist.push_back(needed);
   }
 }
 
-Course Graph::course(const std::string& id, const JobRecord& record) const {
-  Course c;
-  c.ready = record.submitted;
-  if (!record.spec) return c;
-  c.rank = record.spec->rank;
-  if (record.spec->deadline) c.finish_by = record.submitted + *record.spec->deadline;
+SchedulingGoals DependencyGraph::scheduling_goals(const std::string& id, const JobRecord& record) const {
+  SchedulingGoals goals;
+  goals.ready = record.submitted;
+  if (!record.spec) return goals;
+  goals.rank = record.spec->rank;
+  if (record.spec->deadline) goals.finish_by = record.submitted + *record.spec->deadline;
   if (auto it = nodes_.find(id); it != nodes_.end()) {
     const Node& n = it->second;
-    c.rank = std::max(c.rank, n.rank);
-    c.ready = std::max(c.ready, n.ready);
-    if (n.finish_by) c.finish_by = n.finish_by;
+    goals.rank = std::max(goals.rank, n.rank);
+    goals.ready = std::max(goals.ready, n.ready);
+    if (n.finish_by) goals.finish_by = n.finish_by;
   }
-  if (c.finish_by) return c;
+  if (goals.finish_by) return goals;
   // Its last job may still be to come. The class's history may hurry it, but grants no priority.
   auto h = history_.find(record.spec->job_class);
-  if (h != history_.end() && h->second.jobs >= kEnough && h->second.followed * 4 >= h->second.jobs * 3 &&
-      h->second.tail > 0)
-    c.finish_by = record.submitted + from_seconds(h->second.tail);
-  return c;
+  if (h != history_.end() && h->second.jobs >= kMinHistoryJobs &&
+      h->second.jobs_with_dependents * 4 >= h->second.jobs * 3 && h->second.finish_by_seconds > 0)
+    goals.finish_by = record.submitted + from_seconds(h->second.finish_by_seconds);
+  return goals;
 }
 
 }  // namespace aspenwick::job
--- a/src/job/record.cpp
+++ b/src/job/record.cpp
@@ -21,17 +21,17 @@
   return j;
 }
 
-RecordRows rows_of(const JobRecord& r, std::size_t limit, const std::string& tag) {
+RecordRows record_to_rows(const JobRecord& r, std::size_t limit, const std::string& tag) {
   RecordRows out{record_to_json(r), {}};
   if (out.value.dump().size() <= limit) return out;
   // In ASCII it may be cut anywhere; what it takes inside a JSON string is counted.
   const std::string text = out.value.at("spec").dump(-1, ' ', true);
   std::size_t size = limit;
   for (const char c : text) {
-    const std::size_t takes = c == '"' || c == '\\' ? 2 : 1;
-    if (size + takes + 2 > limit) out.parts.emplace_back(), size = 0;
+    const std::size_t escaped_size = c == '"' || c == '\\' ? 2 : 1;
+    if (size + escaped_size + 2 > limit) out.parts.emplace_back(), size = 0;
     out.parts.back().push_back(c);
-    size += takes;
+    size += escaped_size;
   }
   out.value.erase("spec");
   out.value["parts"] = out.parts.size();
@@ -45,41 +45,41 @@
   return std::make_shared<const JobSpec>(wire::job_from_json(wire::Json::parse(text)));
 }
 
-wire::Json cancelled_value(const JobRecord& r, std::size_t limit) {
-  JobRecord w = r;
-  w.status = JobStatus::cancelled;
-  if (!w.spec) return record_to_json(w);
-  wire::JobSpec spec = *w.spec;
+wire::Json cancelled_record_json(const JobRecord& r, std::size_t limit) {
+  JobRecord cancelled = r;
+  cancelled.status = JobStatus::cancelled;
+  if (!cancelled.spec) return record_to_json(cancelled);
+  wire::JobSpec spec = *cancelled.spec;
   spec.types.reset();
   spec.needs.clear();
   if (spec.image.size() + spec.job_class.size() > limit / 16) spec.image.clear(), spec.job_class = spec.team;
-  w.spec = std::make_shared<const JobSpec>(std::move(spec));
-  return record_to_json(w);
+  cancelled.spec = std::make_shared<const JobSpec>(std::move(spec));
+  return record_to_json(cancelled);
 }
 
-std::vector<wire::Json> types_rows(const std::vector<wire::MachineType>& types, std::size_t limit) {
+std::vector<wire::Json> types_to_rows(const std::vector<wire::MachineType>& types, std::size_t limit) {
   std::vector<wire::Json> rows{wire::types_to_json(types)};
   if (rows[0].dump().size() <= limit) return rows;
   rows.clear();
-  std::vector<wire::MachineType> some;
+  std::vector<wire::MachineType> row_types;
   for (const auto& t : types) {
-    some.push_back(t);
-    if (some.size() == 1 || wire::types_to_json(some).dump().size() + 16 <= limit) continue;
-    some.pop_back();
-    rows.push_back(wire::types_to_json(some));
-    some = {t};
+    row_types.push_back(t);
+    if (row_types.size() == 1 || wire::types_to_json(row_types).dump().size() + 16 <= limit) continue;
+    row_types.pop_back();
+    rows.push_back(wire::types_to_json(row_types));
+    row_types = {t};
   }
-  rows.push_back(wire::types_to_json(some));
+  rows.push_back(wire::types_to_json(row_types));
   for (auto& r : rows) r["rows"] = rows.size();
   return rows;
 }
 
-void keep_known_types(JobSpec& spec, const std::vector<wire::MachineType>& types) {
+void keep_usable_types(JobSpec& spec, const std::vector<wire::MachineType>& types) {
   if (!spec.types) return;
-  std::vector<std::string> kept;
+  std::vector<std::string> usable;
   for (const auto& t : types)
-    if (type_allowed(spec, t)) kept.push_back(t.name);
-  spec.types = std::move(kept);
+    if (type_allowed(spec, t)) usable.push_back(t.name);
+  spec.types = std::move(usable);
 }
 
 JobRecord record_from_json(const wire::Json& j, std::uint64_t version) {
@@ -107,22 +107,23 @@
   return true;
 }
 
-std::string DoneSet::text(std::size_t from, std::size_t tasks) const {
-  const std::size_t to = std::min<std::size_t>(bits_.size(), from + tasks);
+std::string DoneSet::text(std::size_t first, std::size_t tasks) const {
+  const std::size_t end = std::min<std::size_t>(bits_.size(), first + tasks);
   std::string out;
-  for (std::size_t i = from; i < to; i += 4) {
+  for (std::size_t i = first; i < end; i += 4) {
     unsigned v = 0;
-    for (std::size_t b = 0; b < 4 && i + b < to; ++b) v |= static_cast<unsigned>(bits_[i + b]) << b;
+    for (std::size_t b = 0; b < 4 && i + b < end; ++b) v |= static_cast<unsigned>(bits_[i + b]) << b;
     out.push_back(kHex[v]);
   }
   while (!out.empty() && out.back() == '0') out.pop_back();
   return out;
 }
 
-void DoneSet::merge(std::uint32_t n, std::uint32_t tasks, const std::string& text) {
+void DoneSet::merge(std::uint32_t row, std::uint32_t tasks, const std::string& text) {
   for (std::size_t c = 0; c < text.size() && c < tasks / 4; ++c)
     for (unsigned b = 0; b < 4; ++b)
-      if ((hex_value(text[c]) >> b) & 1) set(static_cast<std::uint32_t>(std::size_t{n} * tasks + c * 4 + b));
+      if ((hex_value(text[c]) >> b) & 1)
+        set(static_cast<std::uint32_t>(std::size_t{row} * tasks + c * 4 + b));
 }
 
 bool type_allowed(const JobSpec& spec, const wire::MachineType& type) {
@@ -133,15 +134,15 @@
   return spec.need.fits_in(type.total);
 }
 
-std::string never_runs(const JobSpec& spec, const std::vector<wire::MachineType>& types,
-                       const std::vector<wire::Team>& teams) {
+std::string unschedulable_reason(const JobSpec& spec, const std::vector<wire::MachineType>& types,
+                                 const std::vector<wire::Team>& teams) {
   auto team = std::find_if(teams.begin(), teams.end(), [&](const auto& t) { return t.name == spec.team; });
   if (team == teams.end()) return "unknown team";
   if (std::none_of(types.begin(), types.end(), [&](const auto& t) { return type_allowed(spec, t); }))
     return "a task fits no allowed machine type";
-  const auto whole = spec.need * (spec.shape == wire::Shape::array ? 1 : spec.tasks);
-  if ((team->limit.cpus > 0 && whole.cpus > team->limit.cpus) ||
-      (team->limit.gpus > 0 && whole.gpus > team->limit.gpus))
+  const auto concurrent_need = spec.need * (spec.shape == wire::Shape::array ? 1 : spec.tasks);
+  if ((team->limit.cpus > 0 && concurrent_need.cpus > team->limit.cpus) ||
+      (team->limit.gpus > 0 && concurrent_need.gpus > team->limit.gpus))
     return "the job needs more than the team's limit";
   // A gang runs whole or not at all, with at most half of it, rounded up, in a zone.
   if (spec.shape == wire::Shape::gang && spec.spread && spec.tasks > 1) {
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -126,7 +126,7 @@
   attribute(known, now);
 }
 
-void ShareController::set_course(const std::string& id, const job::Course& course, Micros now,
+void ShareController::set_course(const std::string& id, const job::SchedulingGoals& course, Micros now,
                                  Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -88,7 +88,7 @@
   /// Any share's job: which machine types its GPU tasks can use.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
   /// Its priority and when it must be done, as those that need it grant and want.
-  void set_course(const std::string& id, const job::Course& course, Micros now, Micros time_of_day);
+  void set_course(const std::string& id, const job::SchedulingGoals& course, Micros now, Micros time_of_day);
   /// Job records are known as they were then, or later: what had no record by then has none.
   void records_read(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
   void load_done(const std::string& job, std::uint32_t row, const std::string& text, std::uint64_t version);
--- a/src/share/share_controller_records.cpp
+++ b/src/share/share_controller_records.cpp
@@ -28,7 +28,8 @@
     return;
   }
   Job& j = *it->second;
-  if (row >= kUnitRows ? row - kUnitRows >= j.done.chunks() * DoneSet::kUnitsInChunk : row >= j.done.chunks())
+  if (row >= kUnitRows ? row - kUnitRows >= j.done.chunks() * DoneSet::kUnitsPerChunk
+                       : row >= j.done.chunks())
     return;
   row >= kUnitRows ? j.done.merge_unit(row - kUnitRows, text) : j.done.merge_chunk(row, text);
   merge_row(j, row, text);
@@ -71,7 +72,7 @@
 void ShareController::write_row_of(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out) {
   // A whole chunk while its text fits a value, as all versions read it; after that unit by unit, and the
   // chunk's row stays as it is: shortened, it would lose what it alone holds.
-  const std::uint32_t chunk = unit / DoneSet::kUnitsInChunk;
+  const std::uint32_t chunk = unit / DoneSet::kUnitsPerChunk;
   std::string text = j.done.chunk_text(chunk);
   const bool whole = text.size() + 2 <= platform_.value_room();
   const std::uint32_t row = whole ? chunk : kUnitRows + unit;
@@ -79,8 +80,8 @@
   if (!whole) text = j.done.unit_text(unit);
   out.push_back({j.id, row, std::move(text), j.row_versions[row]});
   j.in_flight.insert(row);
-  const std::uint32_t first = whole ? chunk * DoneSet::kUnitsInChunk : unit;
-  const std::uint32_t end = whole ? (chunk + 1) * DoneSet::kUnitsInChunk : unit + 1;
+  const std::uint32_t first = whole ? chunk * DoneSet::kUnitsPerChunk : unit;
+  const std::uint32_t end = whole ? (chunk + 1) * DoneSet::kUnitsPerChunk : unit + 1;
   j.dirty.erase(j.dirty.lower_bound(first), j.dirty.lower_bound(end));
 }
 
@@ -114,8 +115,8 @@
   j.row_versions[w.row] = version;
   if (ok) return merge_row(j, w.row, w.text);
   if (w.row >= kUnitRows) j.dirty.insert(w.row - kUnitRows);
-  for (std::uint32_t u = 0; w.row < kUnitRows && u < DoneSet::kUnitsInChunk; ++u) {
-    const std::uint32_t unit = w.row * DoneSet::kUnitsInChunk + u;
+  for (std::uint32_t u = 0; w.row < kUnitRows && u < DoneSet::kUnitsPerChunk; ++u) {
+    const std::uint32_t unit = w.row * DoneSet::kUnitsPerChunk + u;
     if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty.insert(unit);
   }
 }
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -180,7 +180,7 @@
 /// true: that was not known yet.
 bool ShareController::set_done(Job& j, std::uint32_t index) {
   if (!j.done.set(index)) return false;
-  j.dirty.insert(index / DoneSet::kUnit);
+  j.dirty.insert(index / DoneSet::kUnitTasks);
   j.again.erase(index);
   gang_done(j);
   return true;
@@ -191,7 +191,7 @@
 void ShareController::gang_done(Job& j) {
   if (j.spec->shape != Shape::gang || j.done.count() == 0) return;
   for (std::uint32_t i = 0; i < j.spec->tasks; ++i)
-    if (j.done.set(i)) j.dirty.insert(i / DoneSet::kUnit);
+    if (j.done.set(i)) j.dirty.insert(i / DoneSet::kUnitTasks);
   j.again.clear();
 }
 
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -68,7 +68,7 @@
   for (const Machine* m : view_.all)
     for (const auto& [task, result] : m->results)
       if (!view_.jobs.contains(task.first) && result_needed(task, result.since))
-        chunks.emplace(task.first, task.second / DoneSet::kChunk);
+        chunks.emplace(task.first, task.second / DoneSet::kChunkTasks);
   return chunks;
 }
 
@@ -119,7 +119,7 @@
     std::set<std::string> counted;
     for (const auto& [task, result] : m->results) {
       Urgency& u = urgent[task.first];
-      u.units.insert(task.second / DoneSet::kUnit);
+      u.units.insert(task.second / DoneSet::kUnitTasks);
       if (!counted.insert(task.first).second) continue;
       ++(m->taken_at ? u.machines_taken : u.machines_waiting);
     }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -44,14 +44,14 @@
       const auto r = job::record_from_json(value, 7);
       EXPECT_EQ(job::record_to_json(r), value) << text;
       if (r.spec) {
-        EXPECT_EQ(job::rows_of(r, 1024, "t").value, value);
+        EXPECT_EQ(job::record_to_rows(r, 1024, "t").value, value);
       }
     } else if (key.starts_with("s/machine/")) {
       EXPECT_EQ(share::machine_to_json(share::machine_from_json("i-000007", value, 7)), value);
     } else if (key.starts_with("s/holder/")) {
       EXPECT_EQ(share::owner_to_json(share::owner_from_json(value, 7)), value);
     } else if (key == "s/types") {
-      EXPECT_EQ(job::types_rows(wire::types_from_json(value), 2048), std::vector{value});
+      EXPECT_EQ(job::types_to_rows(wire::types_from_json(value), 2048), std::vector{value});
     } else if (key.starts_with("p/")) {
       job::DoneSet d(30);
       d.merge_chunk(0, value.get<std::string>());
@@ -86,7 +86,7 @@
   for (int i = 0; i < 3000; ++i) j["waitsOn"].push_back("j-" + std::to_string(100'000 + i));
   j["bundle"] = "im\"age \\ \xc3\xa4";
   r.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(j));
-  const auto rows = job::rows_of(r, 1792, "tag");
+  const auto rows = job::record_to_rows(r, 1792, "tag");
   EXPECT_LE(rows.value.dump().size(), 1792U);
   EXPECT_GT(rows.parts.size(), 10U);
   for (const auto& p : rows.parts) EXPECT_LE(wire::Json(p).dump().size(), 1792U);
@@ -99,7 +99,7 @@
   j["rigtypes"] = std::vector<std::string>(100, std::string(180, 't'));
   j["jobclass"] = std::string(200, '\1');
   r.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(j));
-  const auto cancelled = job::cancelled_value(r, 1792);
+  const auto cancelled = job::cancelled_record_json(r, 1792);
   EXPECT_LE(cancelled.dump().size(), 1792U);
   EXPECT_EQ(job::record_from_json(cancelled, 4).spec->team, "red");
   EXPECT_EQ(job::record_from_json(cancelled, 4).spec->need, r.spec->need);
@@ -198,7 +198,7 @@
 TEST(Compatibility, ManyMachineTypesTakeSeveralRows) {
   std::vector<wire::MachineType> types(40, testing::machine_types()[0]), back;
   for (std::size_t i = 0; i < types.size(); ++i) types[i].name = "t" + std::to_string(100 + i);
-  const auto rows = job::types_rows(types, 1792);
+  const auto rows = job::types_to_rows(types, 1792);
   EXPECT_GT(rows.size(), 1U);
   for (const auto& row : rows) {
     EXPECT_LE(row.dump().size(), 1792U);
@@ -213,7 +213,7 @@
   j["rigtypes"] = {"cpu8", "no-such-type", "gpu4"};
   j["ramGb"] = 40;  // more than a cpu8 has
   auto spec = wire::job_from_json(j);
-  job::keep_known_types(spec, testing::machine_types());
+  job::keep_usable_types(spec, testing::machine_types());
   EXPECT_EQ(*spec.types, std::vector<std::string>{"gpu4"});
 }
 
--- a/tests/graph_test.cpp
+++ b/tests/graph_test.cpp
@@ -28,7 +28,7 @@
 
   std::unordered_map<std::string, JobRecord> records_;
   std::uint64_t version_ = 0;
-  Graph graph_{[this](const std::string& id) -> const JobRecord* {
+  DependencyGraph graph_{[this](const std::string& id) -> const JobRecord* {
     auto it = records_.find(id);
     return it == records_.end() ? nullptr : &it->second;
   }};
@@ -38,10 +38,10 @@
   constexpr int kJobs = 50'000;  // deep enough to end a recursion
   accept(0, {});
   for (int i = 1; i < kJobs; ++i) accept(i, {i - 1});
-  EXPECT_FALSE(graph_.doomed(name(kJobs - 1)));
+  EXPECT_FALSE(graph_.has_cancelled_dependency(name(kJobs - 1)));
   end(0, JobStatus::cancelled);
-  EXPECT_TRUE(graph_.doomed(name(1)));
-  EXPECT_TRUE(graph_.doomed(name(kJobs - 1)));
+  EXPECT_TRUE(graph_.has_cancelled_dependency(name(1)));
+  EXPECT_TRUE(graph_.has_cancelled_dependency(name(kJobs - 1)));
   EXPECT_EQ(graph_.to_cancel().size(), kJobs - 1U);
 }
 
@@ -49,16 +49,16 @@
   constexpr int kJobs = 20'000;
   accept(0, {});
   for (int i = 1; i < kJobs; ++i) accept(i, {0}, i == 7 ? wire::Rank::high : wire::Rank::low);
-  EXPECT_EQ(graph_.course(name(0), records_.at(name(0))).rank, wire::Rank::high);
+  EXPECT_EQ(graph_.scheduling_goals(name(0), records_.at(name(0))).rank, wire::Rank::high);
   std::vector<int> all;
   for (int i = 1; i < kJobs; ++i) all.push_back(i);
   accept(kJobs, all, wire::Rank::production);
-  EXPECT_EQ(graph_.course(name(5), records_.at(name(5))).rank, wire::Rank::production);
+  EXPECT_EQ(graph_.scheduling_goals(name(5), records_.at(name(5))).rank, wire::Rank::production);
   graph_.take_changed();
   end(0, JobStatus::done);
   EXPECT_EQ(graph_.take_changed().size(), kJobs - 1U);
-  EXPECT_TRUE(graph_.ready(name(1)));
-  EXPECT_FALSE(graph_.ready(name(kJobs)));
+  EXPECT_TRUE(graph_.is_ready(name(1)));
+  EXPECT_FALSE(graph_.is_ready(name(kJobs)));
   EXPECT_EQ(graph_.ready_version(name(1)), records_.at(name(0)).version);
 }
 
@@ -70,12 +70,12 @@
     accept(last + 2, {last});
     accept(last + 3, {last + 1, last + 2}, layer == 59 ? wire::Rank::high : wire::Rank::low);
   }
-  EXPECT_EQ(graph_.course(name(0), records_.at(name(0))).rank, wire::Rank::high);
-  graph_.replan();
+  EXPECT_EQ(graph_.scheduling_goals(name(0), records_.at(name(0))).rank, wire::Rank::high);
+  graph_.recompute_finish_times();
   end(180, JobStatus::cancelled);
-  EXPECT_EQ(graph_.course(name(0), records_.at(name(0))).rank, wire::Rank::low);
+  EXPECT_EQ(graph_.scheduling_goals(name(0), records_.at(name(0))).rank, wire::Rank::low);
   for (int i = 0; i < 180; ++i) {
-    EXPECT_TRUE(graph_.ready(name(i)));
+    EXPECT_TRUE(graph_.is_ready(name(i)));
     end(i, JobStatus::done);
   }
   EXPECT_TRUE(graph_.to_cancel().empty());
@@ -90,9 +90,9 @@
     graph_.update(name(0), records_.at(name(0)));
     graph_.update(name(1), records_.at(name(1)));
   }
-  EXPECT_FALSE(graph_.ready(name(2)));
+  EXPECT_FALSE(graph_.is_ready(name(2)));
   end(1, JobStatus::done);
-  EXPECT_TRUE(graph_.ready(name(2)));
+  EXPECT_TRUE(graph_.is_ready(name(2)));
 }
 
 }  // namespace
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -43,32 +43,32 @@
 };
 
 TEST_F(ProvisionerTest, RentsSpotWhereAllowedAndEnough) {
-  const auto rents =
-      only<Rent>(provisioner_.tick(now_, {{0, true, {demand(2, 8, true, wire::Rank::high)}, {}}}, records_));
+  const auto rents = only<RentMachines>(
+      provisioner_.tick(now_, {{0, true, {demand(2, 8, true, wire::Rank::high)}, {}}}, records_));
   ASSERT_EQ(rents.size(), 1U);
   EXPECT_TRUE(rents[0].spot);
   EXPECT_EQ(rents[0].count, 2);  // four tasks of 2 CPUs to a machine
   Provisioner other{platform_, types_, {}};
-  EXPECT_FALSE(
-      only<Rent>(other.tick(now_, {{0, true, {demand(2, 8, false, wire::Rank::high)}, {}}}, records_))[0]
-          .spot);
+  EXPECT_FALSE(only<RentMachines>(
+                   other.tick(now_, {{0, true, {demand(2, 8, false, wire::Rank::high)}, {}}}, records_))[0]
+                   .spot);
 }
 
 TEST_F(ProvisionerTest, ARefusedOfferIsNotAskedAgainAtOnce) {
   const std::vector<ShareSaid> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
-  const auto first = only<Rent>(provisioner_.tick(now_, said, records_));
+  const auto first = only<RentMachines>(provisioner_.tick(now_, said, records_));
   provisioner_.rented(first[0], 503, {}, now_);
-  const auto second = only<Rent>(provisioner_.tick(now_, said, records_));
+  const auto second = only<RentMachines>(provisioner_.tick(now_, said, records_));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(second[0].zone + (second[0].spot ? "s" : ""), first[0].zone + (first[0].spot ? "s" : ""));
 }
 
 TEST_F(ProvisionerTest, BootingMachinesCountAsRoomAndStragglersAreDeleted) {
   const std::vector<ShareSaid> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
-  const auto rent = only<Rent>(provisioner_.tick(now_, said, records_));
+  const auto rent = only<RentMachines>(provisioner_.tick(now_, said, records_));
   provisioner_.rented(rent[0], 200, {"i-000001"}, now_);
-  EXPECT_TRUE(only<Rent>(provisioner_.tick(now_, said, records_)).empty());
-  const auto late = only<Delete>(provisioner_.tick(now_ + 300 * kSecond, said, records_));
+  EXPECT_TRUE(only<RentMachines>(provisioner_.tick(now_, said, records_)).empty());
+  const auto late = only<DeleteMachines>(provisioner_.tick(now_ + 300 * kSecond, said, records_));
   ASSERT_EQ(late.size(), 1U);
   EXPECT_EQ(late[0].machines, std::vector<std::string>{"i-000001"});
 }
@@ -87,7 +87,7 @@
   }
   ShareSaid poor{1, true, {demand(2, 500, true, wire::Rank::low)}, {}};
   poor.demands[0].running = 10;
-  auto moves = only<Move>(provisioner_.tick(now_, {rich, poor}, records_));
+  auto moves = only<MoveMachine>(provisioner_.tick(now_, {rich, poor}, records_));
   ASSERT_FALSE(moves.empty());
   EXPECT_LE(moves.size(), 2U);  // a few at a time
   EXPECT_EQ(moves[0].to, 1);
@@ -96,22 +96,22 @@
   EXPECT_EQ(moves[0].machine, "i-000001");    // not that which a replica keeps, nor a full one
   std::set<std::string> given;
   for (int i = 0; i < 60; ++i)
-    for (const auto& m : only<Move>(provisioner_.tick(now_ += kSecond / 2, {rich, poor}, records_)))
+    for (const auto& m : only<MoveMachine>(provisioner_.tick(now_ += kSecond / 2, {rich, poor}, records_)))
       given.insert(m.machine);
   EXPECT_LE(given.size(), 4U);  // half of what it has, at most, and never full ones
   // Not while the share that would give has nearly as much in hand.
   Provisioner other{platform_, types_, {}};
   rich.demands[0].waiting = 900;
-  EXPECT_TRUE(only<Move>(other.tick(now_, {rich, poor}, records_)).empty());
+  EXPECT_TRUE(only<MoveMachine>(other.tick(now_, {rich, poor}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, AnEmptyMachineMovesToWorkThatWaits) {
   const ShareSaid idle{0, true, {}, {machine("i-000001", 0, 3 * kSecond)}};
   const ShareSaid busy{1, true, {demand(2, 4, true, wire::Rank::low)}, {}};
   const auto actions = provisioner_.tick(now_, {idle, busy}, records_);
-  ASSERT_EQ(only<Move>(actions).size(), 1U);
-  EXPECT_EQ(only<Move>(actions)[0].to, 1);
-  EXPECT_TRUE(only<Rent>(actions).empty());
+  ASSERT_EQ(only<MoveMachine>(actions).size(), 1U);
+  EXPECT_EQ(only<MoveMachine>(actions)[0].to, 1);
+  EXPECT_TRUE(only<RentMachines>(actions).empty());
 }
 
 TEST_F(ProvisionerTest, IdleAndLapsedMachinesGoBack) {
@@ -120,20 +120,21 @@
   lapsed.usable = false, lapsed.lapsed = true;
   auto busy = machine("i-000003", 0, 0);
   busy.empty = false;
-  const auto moves = only<Move>(provisioner_.tick(now_, {{0, true, {}, {idle, lapsed, busy}}}, records_));
+  const auto moves =
+      only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {idle, lapsed, busy}}}, records_));
   ASSERT_EQ(moves.size(), 2U);
   for (const auto& m : moves) EXPECT_EQ(m.to, -1);
   // Only when its owner has let it go is it deleted.
-  EXPECT_TRUE(only<Delete>(provisioner_.tick(now_, {}, records_)).empty());
+  EXPECT_TRUE(only<DeleteMachines>(provisioner_.tick(now_, {}, records_)).empty());
   records_["i-000001"].share = -1;
-  EXPECT_EQ(only<Delete>(provisioner_.tick(now_, {}, records_)).size(), 1U);
+  EXPECT_EQ(only<DeleteMachines>(provisioner_.tick(now_, {}, records_)).size(), 1U);
 }
 
 TEST_F(ProvisionerTest, MachinesOfAFormerLeaderAreFoundInTheList) {
   provisioner_.listed({{"i-000009", "", "cpu8", "z1", "booting", true, 10 * kSecond}}, records_, now_);
-  EXPECT_TRUE(
-      only<Rent>(provisioner_.tick(now_, {{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}}, records_))
-          .empty());
+  EXPECT_TRUE(only<RentMachines>(
+                  provisioner_.tick(now_, {{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}}, records_))
+                  .empty());
   EXPECT_TRUE(provisioner_.has_booting());
 }
 
@@ -151,9 +152,9 @@
       for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
   d.types = 1;
   const auto none = provisioner_.tick(now_, {idle, {1, true, {d}, {}}}, records_);
-  EXPECT_TRUE(only<Move>(none).empty());
+  EXPECT_TRUE(only<MoveMachine>(none).empty());
   d.waiting = 2;
-  const auto two = only<Move>(provisioner_.tick(now_, {idle, {1, true, {d}, {}}}, records_));
+  const auto two = only<MoveMachine>(provisioner_.tick(now_, {idle, {1, true, {d}, {}}}, records_));
   ASSERT_EQ(two.size(), 2U);
   EXPECT_EQ(records_[two[0].machine].zone, records_[two[1].machine].zone);
 }
@@ -163,12 +164,12 @@
   // zone.
   share::Demand d = demand(1, 96, false, wire::Rank::production);
   d.shape = wire::Shape::service, d.per_zone = 48;
-  const auto rents = only<Rent>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_));
+  const auto rents = only<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_));
   ASSERT_EQ(rents.size(), 2U);
   EXPECT_NE(rents[0].zone, rents[1].zone);
   EXPECT_EQ(rents[0].count + rents[1].count, 12);
   // Not yet answered, they count as coming.
-  EXPECT_TRUE(only<Rent>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
+  EXPECT_TRUE(only<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, WorkWithSlackDoesNotRentDearMachines) {
@@ -177,12 +178,12 @@
   d.slack_ms = 240'000;
   for (const auto& z : types_[0].zones)
     for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
-  EXPECT_FALSE(only<Rent>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
+  EXPECT_FALSE(only<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
   Provisioner other{platform_, types_, {}};
   for (const auto& z : types_[0].zones)
     for (const bool spot : {true, false}) other.rented({0, z, spot, 1, -1}, 503, {}, now_);
   d.running = 16;  // in 144 s these do it
-  EXPECT_TRUE(only<Rent>(other.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
+  EXPECT_TRUE(only<RentMachines>(other.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, LaterWorkUsesTheMachinesOfEarlierWork) {
@@ -197,7 +198,7 @@
   said.demands[0].running = 16;
   for (const auto& z : types_[0].zones)
     for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
-  EXPECT_TRUE(only<Rent>(provisioner_.tick(now_, {said}, records_)).empty());
+  EXPECT_TRUE(only<RentMachines>(provisioner_.tick(now_, {said}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, UrgentProductionGetsAMachineOfLowerRanksRatherThanABootingOne) {
@@ -207,7 +208,7 @@
   low.empty = false, low.free = {};
   provisioner_.listed({{"i-000009", "", "cpu8", "z1", "booting", false, 2 * kSecond}}, records_, now_);
   const auto moves =
-      only<Move>(provisioner_.tick(now_, {{0, true, {}, {low}}, {1, true, {d}, {}}}, records_));
+      only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {low}}, {1, true, {d}, {}}}, records_));
   ASSERT_EQ(moves.size(), 1U);
   EXPECT_TRUE(moves[0].drain);
   EXPECT_EQ(moves[0].to, 1);
@@ -222,18 +223,18 @@
   records_["i-000001"].spot = true;
   spot.free = types_[1].total, plain.free = {}, plain.empty = false, plain.top_rank = wire::Rank::normal;
   provisioner_.tick(now_, {{0, true, {d}, {}}}, records_);  // learns that the type is wanted
-  EXPECT_TRUE(only<Move>(provisioner_.tick(now_, {{0, true, {}, {spot, plain}}}, records_)).empty());
-  EXPECT_EQ(only<Move>(provisioner_.tick(now_, {{0, true, {}, {spot}}}, records_)).size(), 1U);
+  EXPECT_TRUE(only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot, plain}}}, records_)).empty());
+  EXPECT_EQ(only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot}}}, records_)).size(), 1U);
   // Left over in one share, it goes to the one whose gang runs on an ordinary machine.
   records_["i-000002"].share = 1;
   const auto moves =
-      only<Move>(provisioner_.tick(now_, {{0, true, {}, {spot}}, {1, true, {}, {plain}}}, records_));
+      only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot}}, {1, true, {}, {plain}}}, records_));
   ASSERT_EQ(moves.size(), 1U);
   EXPECT_EQ(moves[0].to, 1);
   records_["i-000002"].share = 0;
   // Unused for long, it goes back all the same.
   spot.idle_ms = 300'000;
-  EXPECT_EQ(only<Move>(provisioner_.tick(now_, {{0, true, {}, {spot, plain}}}, records_)).size(), 1U);
+  EXPECT_EQ(only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot, plain}}}, records_)).size(), 1U);
 }
 
 // Its own share has nothing left, the cloud neither: another share's machine with room, which never ran
@@ -254,7 +255,8 @@
       for (const bool spot : {false, true})
         provisioner_.rented({t.name == "cpu8" ? 0U : 1U, z, spot, 1, 0}, 503, {}, now_);
   auto moves = [&](Micros now) {
-    return only<Move>(provisioner_.tick(now, {{0, true, {training}, others}, {1, true, {d}, {}}}, records_));
+    return only<MoveMachine>(
+        provisioner_.tick(now, {{0, true, {training}, others}, {1, true, {d}, {}}}, records_));
   };
   EXPECT_TRUE(moves(now_).empty());
   d.passed_over = true;
@@ -280,15 +282,16 @@
   large.shape = wire::Shape::gang, large.types = 2;
   provisioner_.tick(now_, {{0, true, {training}, {}}}, records_);  // learns that the type is wanted
   int rented = 0;
-  for (const auto& r : only<Rent>(provisioner_.tick(now_ + kSecond, {{1, true, {large}, {}}}, records_)))
+  for (const auto& r :
+       only<RentMachines>(provisioner_.tick(now_ + kSecond, {{1, true, {large}, {}}}, records_)))
     rented += r.count;
   EXPECT_EQ(rented, 1);
 }
 
-TEST(RequestNames, GoOnAfterAPauseAndNeverRepeat) {
+TEST(RentalIdempotencyKeys, GoOnAfterAPauseAndNeverRepeat) {
   // fresh-ff24: after a state outage the leader led again with its old epoch and counted from 1. The cloud
   // answered with machines that were long up, which were then deleted as stragglers.
-  RequestNames names;
+  RentalIdempotencyKeys names;
   EXPECT_EQ(names.next(8), "e8-1");
   EXPECT_EQ(names.next(8), "e8-2");
   EXPECT_EQ(names.next(9), "e9-1");
@@ -299,7 +302,8 @@
   auto up = machine("i-000001", 0, 0);
   up.empty = false;
   provisioner_.rented({0, "z1", false, 1, 0}, 200, {"i-000001"}, now_);
-  EXPECT_TRUE(only<Delete>(provisioner_.tick(now_ + 300 * kSecond, {{0, true, {}, {up}}}, records_)).empty());
+  EXPECT_TRUE(
+      only<DeleteMachines>(provisioner_.tick(now_ + 300 * kSecond, {{0, true, {}, {up}}}, records_)).empty());
 }
 
 }  // namespace
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -47,22 +47,22 @@
   const auto settings = wire::parse_settings(testing::settings_json().dump());
   const auto types = testing::machine_types();
   auto spec = wire::job_from_json(testing::job_json());
-  EXPECT_EQ(never_runs(spec, types, settings.teams), "");
+  EXPECT_EQ(unschedulable_reason(spec, types, settings.teams), "");
   auto other = spec;
   other.team = "nobody";
-  EXPECT_EQ(never_runs(other, types, settings.teams), "unknown team");
+  EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "unknown team");
   other = spec;
   other.need.gpus = wire::to_units(1);
   other.zone = "z2";  // the only type with GPUs is not offered there
-  EXPECT_NE(never_runs(other, types, settings.teams), "");
+  EXPECT_NE(unschedulable_reason(other, types, settings.teams), "");
   other.zone = "z1";
-  EXPECT_EQ(never_runs(other, types, settings.teams), "");
+  EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "");
   other = spec;
   other.team = "tight";  // 8 CPUs at most
   other.tasks = 100;
-  EXPECT_EQ(never_runs(other, types, settings.teams), "");  // an array: one task
+  EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "");  // an array: one task
   other.shape = wire::Shape::gang;
-  EXPECT_NE(never_runs(other, types, settings.teams), "");
+  EXPECT_NE(unschedulable_reason(other, types, settings.teams), "");
 }
 
 }  // namespace
--- a/tests/result_writer_test.cpp
+++ b/tests/result_writer_test.cpp
@@ -37,7 +37,7 @@
     }
   };
   ResultWriterTest() {
-    for (const auto& type : job::types_rows(machine_types(), platform.value_room()))
+    for (const auto& type : job::types_to_rows(machine_types(), platform.value_room()))
       records.apply({"s/types", type, 2, false});
     records.apply({"s/machine/i-1", machine(0), 3, false});
     records.in_step();
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -145,7 +145,7 @@
         r.spec = std::make_shared<JobSpec>(spec);
         jobs_[words_.at(0)] = r;
         graph_.update(words_.at(0), r);
-        if (controller_ && graph_.ready(words_.at(0)) && key("elsewhere", "no") == "no")
+        if (controller_ && graph_.is_ready(words_.at(0)) && key("elsewhere", "no") == "no")
           controller_->job_known(words_.at(0), r, key("fresh", "yes") == "yes", now_, wall());
         return true;
       }
@@ -235,11 +235,12 @@
       pipelines_ = true;
     } else if (event == "told") {
       const auto& r = jobs_.at(words_.at(0));
-      out_.push_back(graph_.doomed(words_.at(0)) || r.status == wire::JobStatus::cancelled ? "withdrawn"
-                     : r.status == wire::JobStatus::done                                   ? "done"
-                     : !graph_.whole(words_.at(0)) ? "nothing yet: ask again"
-                     : graph_.ready(words_.at(0))  ? "may start"
-                                                   : "queued");
+      out_.push_back(graph_.has_cancelled_dependency(words_.at(0)) || r.status == wire::JobStatus::cancelled
+                         ? "withdrawn"
+                     : r.status == wire::JobStatus::done        ? "done"
+                     : !graph_.dependencies_known(words_.at(0)) ? "nothing yet: ask again"
+                     : graph_.is_ready(words_.at(0))            ? "may start"
+                                                                : "queued");
     } else if (event == "to_withdraw") {
       std::string all;
       for (const auto& id : graph_.to_cancel()) all += " " + id;
@@ -254,13 +255,13 @@
     static constexpr const char* kRanks[] = {"low", "normal", "high", "production"};
     for (const auto& id : graph_.take_changed()) {
       const auto& r = jobs_.at(id);
-      const auto c = graph_.course(id, r);
-      out_.push_back(
-          id +
-          (graph_.ready(id) ? " ready since " + std::to_string((c.ready - kWallClock) / kSecond) : " waits") +
-          ", " + kRanks[static_cast<int>(c.rank)] +
-          (c.finish_by ? ", by " + std::to_string((*c.finish_by - kWallClock) / kSecond) : ""));
-      if (!controller_ || !graph_.ready(id)) continue;
+      const auto c = graph_.scheduling_goals(id, r);
+      out_.push_back(id +
+                     (graph_.is_ready(id) ? " ready since " + std::to_string((c.ready - kWallClock) / kSecond)
+                                          : " waits") +
+                     ", " + kRanks[static_cast<int>(c.rank)] +
+                     (c.finish_by ? ", by " + std::to_string((*c.finish_by - kWallClock) / kSecond) : ""));
+      if (!controller_ || !graph_.is_ready(id)) continue;
       controller_->job_known(id, r, graph_.ready_version(id) > 100, now_, wall());
       controller_->set_course(id, c, now_, wall());
     }
@@ -355,7 +356,7 @@
   std::vector<wire::MachineType> types_ = testing::machine_types();
   std::map<std::string, JobRecord> jobs_;
   bool pipelines_ = false;
-  job::Graph graph_{[this](const std::string& id) -> const JobRecord* {
+  job::DependencyGraph graph_{[this](const std::string& id) -> const JobRecord* {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
   }};
