--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -9,10 +9,11 @@
 namespace aspenwick::fleet {
 namespace {
 constexpr Micros kDeleteRetryInterval = 4 * kSecond;
-constexpr std::int64_t kMaxTasksPerMachine = 1'000'000;
-constexpr Micros kMinUnusedTime = 4 * kSecond;
+constexpr std::int64_t kMaxTasksPerMachine = 1'000'000;  // for tasks that need no resources
+constexpr Micros kMinUnusedTime = 4 * kSecond;  // until free resources count as unused by their share
 }  // namespace
 
+/// types_.size() if there is no such type.
 std::size_t Provisioner::type_index(const std::string& name) const {
   std::size_t i = 0;
   while (i < types_.size() && types_[i].name != name) ++i;
@@ -39,7 +40,8 @@
     b.was_listed = true;
     b.last_listed = now;
   }
-  // Listed once, it stays listed until it is to_delete; a list may be older than the one before.
+  // The cloud lists a machine until it is deleted. A single list without it proves nothing, as it may be
+  // older than the list before.
   std::erase_if(booting_, [&](const auto& e) {
     if (seen.contains(e.first)) return false;
     const Micros unlisted_for = now - (e.second.was_listed ? e.second.last_listed : e.second.rented_at);
@@ -65,7 +67,7 @@
     b.claimed_by_share = rent.share;
     booting_.emplace(id, std::move(b));
   }
-  spdlog::info("rent {} x{}: {} ({} machines)", key, rent.count, status, ids.size());
+  spdlog::info("rental request {} x{}: status {}, {} machines granted", key, rent.count, status, ids.size());
 }
 
 void Provisioner::deleted(const std::vector<std::string>& ids, bool ok, Micros) {
@@ -82,15 +84,18 @@
 int Provisioner::share_for(const std::string& machine, const std::string&, int shares) {
   auto it = booting_.find(machine);
   if (it != booting_.end() && it->second.claimed_by_share >= 0) return it->second.claimed_by_share;
-  // A share without a team has no use for it.
+  // With fewer teams than shares, the last shares plan no team's jobs and could not use the machine.
   const int shares_with_teams = std::clamp(static_cast<int>(platform_.teams.size()), 1, std::max(1, shares));
   return next_adopting_share_++ % shares_with_teams;
 }
 
+/// How many of the demand's tasks fit into `capacity` together.
 std::uint32_t Provisioner::tasks_fitting(const share::Demand& d, const wire::Resources& capacity) const {
   return static_cast<std::uint32_t>(d.need.times_in(capacity, kMaxTasksPerMachine));
 }
 
+/// Whether the demand's tasks may use this machine type, zone and kind of rental, and the zone takes more of
+/// them.
 bool Provisioner::matches_constraints(const PendingDemand& pending, std::size_t type, const std::string& zone,
                                       bool spot) const {
   const auto& d = pending.demand;
@@ -106,16 +111,18 @@
   return true;
 }
 
+/// Whether the demand's tasks may run on the machine, if they fit.
 bool Provisioner::can_use(const PendingDemand& pending, const MachineCapacity& machine) const {
   if (!matches_constraints(pending, machine.type, machine.zone, machine.spot)) return false;
-  if (pending.demand.plain_only && types_[machine.type].total.gpus > 0) return false;  // as its owner does
-  // As the owner does: only work that can make way shares a machine with GPU work.
+  if (pending.demand.plain_only && types_[machine.type].total.gpus > 0) return false;
+  // Like the owner's placement, puts only preemptible work on machines that GPU work can use.
   return pending.demand.need.gpus > 0 || machine.type >= gpu_work_types_.size() ||
          !gpu_work_types_[machine.type] || pending.demand.any_room ||
          (pending.demand.rank == wire::Rank::low && pending.demand.shape == wire::Shape::array &&
           !machine.booting);
 }
 
+/// Reserves the machine's free capacity for as many of the demand's tasks as fit; returns their number.
 std::uint32_t Provisioner::assign_tasks(PendingDemand& pending, MachineCapacity& machine) const {
   std::uint32_t n = 0;
   while (pending.remaining > 0 && can_use(pending, machine) && pending.demand.need.fits_in(machine.free)) {
@@ -128,8 +135,9 @@
   return n;
 }
 
-// ---------------------------------------------------------------- the view
+// ---------------------------------------------------------------- demand and capacity
 
+/// Requests the deletion of machines that their owner has released, that failed, and that boot for too long.
 void Provisioner::delete_failed_machines(Plan& plan, const std::map<std::string, MachineRecord>& records) {
   DeleteMachines to_delete;
   auto request_delete = [&](const std::string& id) {
@@ -140,7 +148,8 @@
   };
   for (const auto& [id, m] : records)
     if (m.share < 0) request_delete(id);
-  // What has a record is up, whatever an answer of the cloud says: it must not be taken for a straggler.
+  // A machine with a record is up. The cloud's answers may still report it as rented, and it must not be
+  // taken for a straggler.
   std::erase_if(booting_, [&](const auto& b) { return records.contains(b.first); });
   for (const auto& [id, b] : booting_) {
     const Micros boot = b.type < types_.size() ? types_[b.type].boot : 0;
@@ -151,6 +160,9 @@
   if (!to_delete.machines.empty()) plan.actions.emplace_back(to_delete);
 }
 
+/// Fills the plan with all shares' demands, by rank and slack, and the machines that may serve them: spot
+/// first, then those with the fewest free CPUs. Lapsed and suspect machines that are empty are released
+/// instead.
 void Provisioner::collect_demand_and_capacity(Plan& plan, const std::vector<ShareSaid>& shares,
                                               const std::map<std::string, MachineRecord>& records) {
   gpu_work_types_.resize(types_.size());
@@ -182,18 +194,18 @@
       machine.top_rank = m.top_rank;
       if (machine.type >= types_.size()) continue;
       const auto& total = types_[machine.type].total;
-      // What runs there makes way for GPU work: its room is the GPUs' part of the machine.
+      // Low-rank tasks that use no GPU are preempted for GPU work: all of the machine counts as free.
       if (gpu_work_types_[machine.type] && machine.top_rank == wire::Rank::low && !machine.empty &&
           machine.free.gpus == total.gpus)
         machine.free = total;
       machine.owner_share = s.share;
-      // Whatever starts there, it is counted anew.
+      // Once a task takes some of it, the time starts over.
       auto& tracked = unused_capacity_[m.id];
       if (tracked.last_seen == 0 || !tracked.min_free.fits_in(m.free)) tracked = {m.free, plan.now, 0};
       tracked.last_seen = plan.now;
       machine.unused = tracked.min_free;
       machine.unused_long_enough = plan.now - tracked.since >= kMinUnusedTime;
-      if (draining != draining_.end())  // on its way to another share
+      if (draining != draining_.end())  // for another share
         machine.share = draining->second.first, machine.free = total, machine.reserved = true;
       plan.capacities.push_back(std::move(machine));
     }
@@ -230,7 +242,8 @@
   plan.now = now;
   delete_failed_machines(plan, records);
   collect_demand_and_capacity(plan, shares, records);
-  // First every share's own room, then machines that come or can be moved, then renting.
+  // Every demand is assigned its own share's machines first, then machines that boot or can be moved, and the
+  // rest is rented.
   for (auto& pending : plan.pending_demands) {
     if (pending.demand.shape == wire::Shape::gang) continue;
     for (auto& machine : plan.capacities)
@@ -241,10 +254,10 @@
   for (auto& pending : plan.pending_demands) {
     satisfy(plan, pending);
     if (pending.remaining > 0 && pending.demand.rank >= wire::Rank::high)
-      spdlog::debug("share {}: no room for {} of {} tasks of rank {}, slack {} ms, closed zones {:b}",
-                    pending.share, pending.remaining, pending.demand.waiting,
-                    static_cast<int>(pending.demand.rank), pending.demand.slack_ms,
-                    pending.demand.closed_zones);
+      spdlog::debug(
+          "share {}: no capacity for {} of {} waiting tasks of rank {}, slack {} ms, closed zones {:b}",
+          pending.share, pending.remaining, pending.demand.waiting, static_cast<int>(pending.demand.rank),
+          pending.demand.slack_ms, pending.demand.closed_zones);
   }
   rebalance(plan);
   release_idle_machines(plan);
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -1,5 +1,5 @@
-// Machines that change shares: empty ones, those that are drained for work of higher rank or that waits for
-// long, and those that a share with more work in hand gets.
+// Moves of machines between shares: empty ones, ones drained for work that ranks higher or has waited for
+// long, and ones that a share with a longer backlog gets.
 #include <algorithm>
 
 #include "fleet/provisioner.h"
@@ -8,20 +8,21 @@
 namespace aspenwick::fleet {
 namespace {
 constexpr int kMaxDrainsPerTick = 4;
-constexpr double kRebalanceRatio = 4;  // so many times the work in hand of another share
+constexpr double kRebalanceRatio = 4;  // a share gives machines to one with over this many times its backlog
 constexpr std::int64_t kMaxTasksOnMovedMachine = 2;
-constexpr std::size_t kMachinesPerRebalanceMove = 100;  // of all machines, at once
-constexpr Micros kDrainRenewalMargin = 10 * kSecond;    // before a drain is over
+constexpr std::size_t kMachinesPerRebalanceMove = 100;  // a pass drains 1 machine, and 1 more per 100
+constexpr Micros kDrainRenewalMargin = 10 * kSecond;    // a drain is renewed this long before it ends
 }  // namespace
 
-// ---------------------------------------------------------------- moving
+// ---------------------------------------------------------------- empty machines, preemption
 
+/// The machine is empty and another share's, and can be moved without a drain.
 bool Provisioner::can_move(const MachineCapacity& machine, const PendingDemand& pending) const {
   return !machine.booting && !machine.reserved && machine.empty && machine.share != pending.share &&
          machine.idle_ms * kMillisecond >= settings_.min_idle_before_move;
 }
 
-/// On it runs only what makes way for GPU work.
+/// The machine runs only low-rank tasks that use no GPU, so it can be drained for another share's GPU work.
 bool Provisioner::can_drain_for_gpu_work(const MachineCapacity& machine, const PendingDemand& pending) const {
   return pending.demand.need.gpus > 0 && !machine.booting && !machine.empty && !machine.reserved_for_gpu &&
          machine.share != pending.share && machine.top_rank == wire::Rank::low &&
@@ -29,7 +30,8 @@
 }
 
 void Provisioner::claim_booting_machines(Plan& plan, PendingDemand& pending) {
-  // A share's earlier claims first: a claim that wandered would send machines where they are not needed.
+  // The share's earlier claims first: if claims changed between ticks, machines would join shares that don't
+  // need them.
   for (const bool own : {true, false})
     for (auto& machine : plan.capacities) {
       if (pending.remaining == 0) return;
@@ -54,7 +56,8 @@
   }
 }
 
-/// A share whose high ranks wait gets machines on which only lower ranks run.
+/// For demands of rank high and above: drains other shares' machines that run only lower ranks, those first
+/// where the fewest CPUs in use are given up per pending task.
 void Provisioner::drain_lower_rank_machines(Plan& plan, PendingDemand& pending) {
   if (pending.demand.rank < wire::Rank::high || plan.now < next_drain_) return;
   for (int n = 0; n < kMaxDrainsPerTick && pending.remaining > 0; ++n) {
@@ -70,7 +73,7 @@
       if (!matches_constraints(pending, machine.type, machine.zone, machine.spot) ||
           !pending.demand.need.fits_in(types_[machine.type].total))
         continue;
-      // What is stopped for each task that gets room.
+      // CPUs in use whose tasks are stopped, per pending task that fits instead.
       const auto& total = types_[machine.type].total;
       const double loss = static_cast<double>(total.cpus - machine.free.cpus) /
                           static_cast<double>(std::max(
@@ -89,12 +92,14 @@
   }
 }
 
-// ---------------------------------------------------------------- room in other shares
+// ---------------------------------------------------------------- unused capacity of other shares
 
-/// Its share leaves room there that it has no use for, and has for a while: between two tasks there is always
-/// some. Not beside production, which mostly stays for good: such a machine would take nothing more in vain.
-/// (Without these two, compact work on the largest fleet kept fewer deadlines; which of them it was isn't
-/// known.) GPUs that are in use would stand idle for a few CPUs beside them.
+/// Another share's busy machine has had room for the passed-over demand for a while. The room must have been
+/// unused for kMinUnusedTime, as there is always some for a moment between two tasks. Machines with
+/// production tasks are left out: these mostly run for good, so a drain would only keep the rest idle.
+/// (Without these two rules, compact work on the largest fleet met fewer deadlines; which of the two matters
+/// isn't known.) For work that needs no GPU, so are machines with GPUs in use, which would be idle after the
+/// drain, all for a few CPUs.
 bool Provisioner::has_unused_capacity_for(const MachineCapacity& machine,
                                           const PendingDemand& pending) const {
   if (pending.demand.need.gpus == 0 && machine.free.gpus < types_[machine.type].total.gpus &&
@@ -106,7 +111,8 @@
          pending.demand.need.fits_in(machine.free) && pending.demand.need.fits_in(machine.unused);
 }
 
-/// Lower ranks make way at once; the same or higher ones may end, and nothing more is placed there.
+/// Drains the machine for the demand's share: tasks of lower rank are stopped. If a task ranks the same or
+/// higher, all may finish, and nothing more is placed there.
 void Provisioner::drain_underused_machine(Plan& plan, MachineCapacity& machine,
                                           const PendingDemand& pending) {
   const bool lower = machine.top_rank < pending.demand.rank;
@@ -118,8 +124,9 @@
   machine.reserved = true;
 }
 
-/// A job that was passed over for long while another share has room beside what runs on its machines: the one
-/// with the cheapest on it makes way. Else it would wait as long as that share has anything to do.
+/// For a demand that was passed over for long while other shares have room beside their tasks: drains the
+/// machine with the lowest rank and then the fewest CPUs in use. Otherwise the demand would wait as long as
+/// these shares have any work.
 void Provisioner::drain_underused_machines(Plan& plan, PendingDemand& pending) {
   if (!pending.demand.passed_over) return;
   while (pending.remaining > 0) {
@@ -134,13 +141,13 @@
     const auto remaining_before = pending.remaining;
     drain_underused_machine(plan, *best, pending);
     if (assign_tasks(pending, *best) == 0) return;
-    // What runs there may take long: one new machine, if the cloud has one, may be there sooner.
+    // The tasks there may run for long: keeps one task pending, as a rented machine may be up sooner.
     if (pending.remaining == 0) pending.remaining = std::min(remaining_before, 1U);
     if (pending.remaining <= 1) return;
   }
 }
 
-/// What runs there may take longer than a drain lasts.
+/// Renews drains for a passed-over demand, as tasks may run for longer than a drain lasts.
 void Provisioner::renew_drains(Plan& plan, const PendingDemand& pending) {
   if (!pending.demand.passed_over) return;
   for (auto& [id, d] : draining_) {
@@ -156,7 +163,7 @@
   }
 }
 
-/// No other machine could ever hold it.
+/// A task fits only machine types that GPU work can use.
 bool Provisioner::fits_only_gpu_work_types(const PendingDemand& pending) const {
   for (std::size_t t = 0; t < types_.size(); ++t)
     if (!gpu_work_types_[t] && tasks_fitting(pending.demand, types_[t].total) > 0 &&
@@ -165,17 +172,18 @@
   return true;
 }
 
-// ---------------------------------------------------------------- levelling
+// ---------------------------------------------------------------- rebalancing
 
-/// Work that can wait waits in one share while another's is done as soon as it comes: machines that run only
-/// such work there take no more of it, and when they are empty they move. Without this a share that was first
-/// keeps its machines, since they are hardly ever empty.
+/// Evens out the backlogs of deferrable work: if it waits in one share while another share starts its own at
+/// once, machines of the latter that run only such work are drained without preemption, and move when empty.
+/// Without this, the share that came first keeps its machines, since they are hardly ever empty.
 void Provisioner::rebalance(Plan& plan) {
   if (settings_.level_above == 0 || plan.now < next_rebalance_) return;
   next_rebalance_ = plan.now + kSecond;
   struct ShareLoad {
     double waiting_seconds = 0, outstanding_seconds = 0,
-           running_tasks = 0;  // task seconds, and tasks that run
+           running_tasks = 0;  // of deferrable work; task seconds and tasks
+    /// Until the waiting tasks have run, at the current rate.
     double backlog_seconds() const { return waiting_seconds / std::max(1.0, running_tasks); }
     const PendingDemand* largest_demand = nullptr;
   };
@@ -204,7 +212,7 @@
         (!donor || load.running_tasks > donor->running_tasks))
       donor = &load, from = share;
   if (!donor) return;
-  // As many as would make the work in hand the same, but never more than half of what it has.
+  // Moves as many tasks' capacity as would make both backlogs the same, but at most half of the donor's.
   const PendingDemand& pending = *receiver.largest_demand;
   double tasks_to_shift = std::min((receiver.outstanding_seconds * donor->running_tasks -
                                     donor->outstanding_seconds * receiver.running_tasks) /
@@ -221,7 +229,7 @@
         n == 0 || machine.top_rank != wire::Rank::low || types_[machine.type].total.gpus > 0 ||
         !matches_constraints(pending, machine.type, machine.zone, machine.spot))
       continue;
-    // With many tasks on it the last would end too late, and its room is idle until then.
+    // With many tasks, the last one ends late, and the rest of the machine is idle until then.
     if (used_cpus(machine) >
         std::max(types_[machine.type].total.cpus / 3, kMaxTasksOnMovedMachine * pending.demand.need.cpus))
       continue;
--- a/src/fleet/provisioner_releasing.cpp
+++ b/src/fleet/provisioner_releasing.cpp
@@ -1,16 +1,15 @@
-// Machines that are no longer needed: drained where dear, and given back.
+// Returns machines that are no longer needed to the cloud; expensive ones are drained first.
 #include "fleet/provisioner.h"
 #include "fleet/provisioner_internal.h"
 
 namespace aspenwick::fleet {
 namespace {
-constexpr Micros kSpotMoveAfterIdle = 6 * kSecond;
+constexpr Micros kSpotMoveAfterIdle = 6 * kSecond;  // to a share that uses on-demand machines of the type
 }  // namespace
 
-// ---------------------------------------------------------------- giving back
-
 void Provisioner::release_idle_machines(Plan& plan) {
-  // A dear machine whose share has room enough elsewhere takes no more tasks, and goes back when it is empty.
+  // A GPU machine without GPU work, whose share has enough free capacity on other machines, takes no more
+  // tasks and is returned when it is empty.
   for (const auto& machine : plan.capacities) {
     if (plan.now < next_consolidation_ || machine.booting || machine.empty ||
         plan.shares_short_of_capacity.contains(machine.share) || draining_.contains(machine.id))
@@ -28,9 +27,10 @@
     draining_[machine.id] = {-1, plan.now + kGracefulDrainTime};
     plan.actions.emplace_back(MoveMachine{machine.id, machine.share, -1, true, wire::Rank::low});
   }
-  // While ordinary machines of a type are rented, a spot one that is idle for a moment would be missed.
-  // Gangs that run on ordinary ones move to it, if their share has it.
-  std::map<std::size_t, std::set<int>> on_demand_users;  // type -> shares that use some
+  // While on-demand machines of a type are rented, a spot one that is idle for a moment is kept longer,
+  // because gangs on on-demand machines move to it if their share has it.
+  std::map<std::size_t, std::set<int>>
+      on_demand_users;  // type -> shares with on-demand machines in use; -1: others
   for (const auto& machine : plan.capacities)
     if (!machine.spot && !draining_.contains(machine.id))
       on_demand_users[machine.type].insert(machine.booting || machine.empty ? -1 : machine.share);
--- a/src/fleet/provisioner_renting.cpp
+++ b/src/fleet/provisioner_renting.cpp
@@ -1,4 +1,5 @@
-// What is rented, and for whom: offers, gangs, and what may wait instead.
+// Satisfies demands, gangs included, and rents machines for what the existing ones can't hold: which offers,
+// and how much deferrable work can wait instead.
 #include <algorithm>
 #include <cmath>
 
@@ -8,16 +9,17 @@
 namespace aspenwick::fleet {
 namespace {
 constexpr int kMaxRentsPerTick = 3;
-constexpr int kMaxMachinesPerRent = 50;  // the cloud's bound on one request
+constexpr int kMaxMachinesPerRent = 50;  // the cloud's limit for one request
 constexpr std::size_t kMaxUnansweredRents = 6;
-constexpr Micros kMinBootTime = 20 * kSecond;  // a machine that boots is seldom up sooner
+constexpr Micros kMinBootTime = 20 * kSecond;  // few machines boot in less
 constexpr std::size_t kManyBootingMachines = 40;
-constexpr double kLargerMachineDiscount = 0.02;  // for each doubling
+constexpr double kLargerMachineDiscount = 0.02;  // per doubling of the tasks that a machine holds
 }  // namespace
 
 // ---------------------------------------------------------------- renting
 
-/// Offers that may be asked now, the cheapest per task first.
+/// Offers for the demand that the cloud hasn't refused recently, the cheapest per task first. `only_zone`:
+/// empty for all zones.
 std::vector<Provisioner::Offer> Provisioner::available_offers(const PendingDemand& pending, Micros now,
                                                               const std::string& only_zone) const {
   std::vector<Offer> all;
@@ -36,7 +38,7 @@
         std::uint32_t use = std::min(pending.remaining, fits);
         if (pending.demand.per_zone > 0) use = std::min(use, pending.demand.per_zone);
         double cost = (spot ? spot_price : types_[t].price) / std::max(1U, use);
-        // Each machine that joins takes a change: while many are on their way, larger ones are sooner of use.
+        // Each machine that joins takes a record change, so while many boot, larger ones are usable sooner.
         if (booting_.size() > kManyBootingMachines)
           cost /= 1 + kLargerMachineDiscount * std::log2(std::max(1U, use));
         all.push_back({t, zone, spot, cost, fits});
@@ -51,13 +53,15 @@
   return all;
 }
 
+/// Work that may run later, in several rounds on fewer machines.
 bool Provisioner::is_deferrable(const share::Demand& d) {
   return d.shape == wire::Shape::array && d.rank < wire::Rank::high;
 }
 
-/// How many more tasks should find room. Work that can wait runs in several rounds on fewer machines;
-/// expensive ones are for what the others, earliest first, would not do in time. (Each job by itself would
-/// want several times as much: those that must be done later use the machines of those before them.)
+/// How many of the remaining tasks to rent machines for. Deferrable work runs in several rounds on fewer
+/// machines; expensive ones are rented only for what the other machines, serving the least slack first,
+/// wouldn't finish in time. This sums over the share's backlog: each job by itself would ask for several
+/// times as much, though later jobs use the machines of earlier ones.
 std::uint32_t Provisioner::tasks_needing_capacity(const Plan& plan, const PendingDemand& pending,
                                                   bool expensive) const {
   if (!is_deferrable(pending.demand)) return pending.remaining;
@@ -71,6 +75,7 @@
   return static_cast<std::uint32_t>(std::clamp(slots, 0.0, static_cast<double>(pending.remaining)));
 }
 
+/// Plans a rental request and assigns the demand's tasks to the machines that it will give.
 void Provisioner::request_rental(Plan& plan, const Offer& o, int count, PendingDemand& pending) {
   const RentMachines rent{o.type, o.zone, o.spot, count, pending.share};
   unanswered_rents_.push_back(rent);
@@ -87,7 +92,7 @@
 }
 
 void Provisioner::rent_machines_for(Plan& plan, PendingDemand& pending) {
-  // The cheapest known price is the measure, whether or not it can be had just now.
+  // An offer is expensive compared with the cheapest known price, whether or not that can be rented now.
   double cheapest = 1e18;
   for (std::size_t t = 0; t < types_.size(); ++t)
     if (const auto fits = tasks_fitting(pending.demand, types_[t].total);
@@ -100,16 +105,17 @@
     if (pending.remaining == 0 || plan.rent_requests >= kMaxRentsPerTick ||
         unanswered_rents_.size() >= kMaxUnansweredRents)
       return;
-    if (!matches_constraints(pending, o.type, o.zone, o.spot)) continue;  // its zone may be full by now
+    if (!matches_constraints(pending, o.type, o.zone, o.spot))
+      continue;  // the requests before may have filled its zone
     const bool expensive = o.cost_per_task > cheapest * settings_.expensive_price_factor;
-    // Production may have expensive machines once it has waited longer than it should: drained machines come
-    // sooner than new ones.
+    // Production gets expensive machines only once it is late: drained machines are available sooner than new
+    // ones.
     const bool urgent = pending.demand.rank >= wire::Rank::production
                             ? pending.demand.slack_ms == 0
                             : pending.demand.slack_ms < to_seconds(types_[o.type].boot) * 1000;
     if (expensive && !urgent && !is_deferrable(pending.demand)) continue;
-    // It displaces work that can wait long before a expensive machine has booted; that work has its own
-    // measure.
+    // High-rank arrays preempt deferrable work long before an expensive machine has booted. Whether that work
+    // then justifies such a machine is decided with its own demand.
     if (expensive && pending.demand.rank == wire::Rank::high && pending.demand.shape == wire::Shape::array &&
         all_running_deferrable >= 2.0 * pending.remaining)
       continue;
@@ -132,8 +138,8 @@
 
 // ---------------------------------------------------------------- gangs
 
-/// A gang runs whole or not at all, and mostly in one zone: machines are moved or rented for it only where
-/// all of it will fit, or shares would pass machines back and forth that help neither.
+/// A gang runs whole or not at all, and mostly in one zone. Machines are moved or rented for it only where
+/// all of it will fit; otherwise shares would move machines back and forth that help neither of them.
 void Provisioner::satisfy_gang(Plan& plan, PendingDemand& pending) {
   struct ZoneChoice {
     std::string zone;
@@ -144,7 +150,7 @@
   for (std::size_t z = 0; pending.demand.one_zone && z < platform_.zones.size(); ++z)
     choices.push_back({platform_.zones[z]});
   for (auto& c : choices) {
-    // What runs there may take long: only where the cloud has no more machines.
+    // Draining underused machines may take long: only where the cloud offers no more.
     const bool include_underused =
         pending.demand.passed_over && available_offers(pending, plan.now, c.zone).empty();
     for (const auto& machine : plan.capacities) {
@@ -194,7 +200,7 @@
     }
     const bool drain = can_drain_for_gpu_work(machine, pending);
     if ((!drain && !can_move(machine, pending)) || assign_tasks(pending, machine) == 0) continue;
-    if (!move_now) continue;  // kept for it, and moved when the rest has come
+    if (!move_now) continue;  // reserved, and moved once the other machines are up
     if (drain) draining_[machine.id] = {pending.share, plan.now + kPreemptingDrainTime};
     plan.actions.emplace_back(MoveMachine{machine.id, from, pending.share, drain, pending.demand.rank});
     machine.share = pending.share;
@@ -223,8 +229,8 @@
     renew_drains(plan, pending);
     return pending.remaining > 0 ? satisfy_gang(plan, pending) : void();
   }
-  // For what is urgent a machine that boots comes too late: machines on which lower ranks run make way, and
-  // the new ones are for those.
+  // For urgent work a booting machine is up too late: machines with lower-rank tasks are drained for it, and
+  // the booting ones are left for those tasks.
   const bool urgent =
       pending.demand.rank >= wire::Rank::high && pending.demand.slack_ms < kMinBootTime / kMillisecond;
   if (!urgent) claim_booting_machines(plan, pending);
@@ -234,7 +240,8 @@
   drain_underused_machines(plan, pending);
   if (urgent) claim_booting_machines(plan, pending);
   if (is_deferrable(pending.demand)) {
-    // What runs of work that can wait makes room soon, and the earliest takes it first, whichever job it was.
+    // Running deferrable tasks free their capacity soon. The demand with the least slack takes it first,
+    // whichever job's tasks ran there.
     auto [it, first] = plan.backlogs.try_emplace(pending.share);
     if (first) it->second.slots = plan.running_deferrable[pending.share];
     it->second.task_seconds += outstanding_task_seconds(pending.demand);
