--- a/src/job/graph.cpp
+++ b/src/job/graph.cpp
@@ -4,9 +4,9 @@
 
 namespace aspenwick::job {
 namespace {
-constexpr Micros kStageOverhead = 5 * kSecond;  // of a stage, whatever it runs: image, reports, records
-constexpr double kHistoryWeight = 0.2;          // of the newest stage in what its class's history tells
-constexpr std::uint32_t kMinHistoryJobs = 4;    // jobs of a class before its history tells of others
+constexpr Micros kStageOverhead = 5 * kSecond;  // per job, beside its run time: image fetch, reports, records
+constexpr double kHistoryWeight = 0.2;          // of the newest job in a class's moving averages
+constexpr std::uint32_t kMinHistoryJobs = 4;    // before a class's history is used for its other jobs
 }  // namespace
 
 DependencyGraph::Node& DependencyGraph::find_or_create_node(const std::string& id) {
@@ -58,7 +58,7 @@
   n.known = true;
   n.job_class = spec.job_class;
   n.version = record.version;
-  n.submitted = n.ready = record.submitted;
+  n.submitted = n.ready_since = record.submitted;
   n.estimate = spec.estimate;
   if (spec.deadline) n.deadline = n.finish_by = record.submitted + *spec.deadline;
   n.own_rank = n.rank = spec.rank;
@@ -69,7 +69,7 @@
     Node& needed = find_or_create_node(id);
     if (&needed == &n) continue;
     if (const JobRecord* r = needed.known || needed.status != JobStatus::queued ? nullptr : lookup_(id)) {
-      // It needs nothing itself, or it would have a node of its own by now.
+      // A job with dependencies of its own already has a node whose spec is known.
       if (r->spec && r->spec->needs.empty()) add_spec(needed, *r);
       if (r->status == JobStatus::done) record_done(needed, *r);
       if (r->status == JobStatus::cancelled) record_cancelled(needed);
@@ -79,7 +79,7 @@
     if (needed.known && needed.dependents.size() == 1) ++history_[needed.job_class].jobs_with_dependents;
     if (needed.status == JobStatus::done) {
       n.ready_version = std::max(n.ready_version, needed.version);
-      n.ready = std::max(n.ready, needed.finished);
+      n.ready_since = std::max(n.ready_since, needed.finished);
     } else {
       ++n.open_dependencies;
     }
@@ -96,13 +96,13 @@
 void DependencyGraph::record_done(Node& n, const JobRecord& record) {
   n.status = JobStatus::done;
   n.version = record.version;
-  // A record by a version that kept no time: what waits counts from its own submission.
+  // 0 in a record of a version that kept no time: its dependents then count from their own submission.
   n.finished = record.finished;
   if (n.known) {
     ClassHistory& h = history_[n.job_class];
-    if (n.finished > n.ready && n.ready > 0) {
+    if (n.finished > n.ready_since && n.ready_since > 0) {
       const double measured_factor =
-          to_seconds(n.finished - n.ready) / to_seconds(n.estimate + kStageOverhead);
+          to_seconds(n.finished - n.ready_since) / to_seconds(n.estimate + kStageOverhead);
       h.duration_factor += kHistoryWeight * (std::clamp(measured_factor, 0.5, 4.0) - h.duration_factor);
     }
     if (!n.dependents.empty() && n.finish_by) {
@@ -114,7 +114,7 @@
   }
   for (Node* dependent : n.dependents) {
     dependent->ready_version = std::max(dependent->ready_version, n.version);
-    dependent->ready = std::max(dependent->ready, n.finished);
+    dependent->ready_since = std::max(dependent->ready_since, n.finished);
     if (--dependent->open_dependencies == 0) mark_changed(*dependent);
   }
 }
@@ -126,7 +126,7 @@
   recompute_priorities(n.dependencies);
 }
 
-/// All that needs it, directly or through others; step by step, as chains may be long.
+/// Marks all direct and indirect dependents. Iterative, as long chains would overflow the stack.
 void DependencyGraph::mark_dependents_cancelled(Node& n) {
   std::deque<Node*> worklist{&n};
   std::vector<Node*> affected;
@@ -171,6 +171,8 @@
       (h == history_.end() ? ClassHistory{}.duration_factor : h->second.duration_factor));
 }
 
+/// Raises a dependency's rank and latest finish to what its dependent `by` asks for; true if that changed
+/// any.
 bool DependencyGraph::raise_priority(Node& needed, const Node& by) const {
   bool raised = false;
   if (by.rank > needed.rank) needed.rank = by.rank, raised = true;
@@ -181,7 +183,8 @@
   return raised;
 }
 
-/// What it grants reaches all that it needs. Nothing is looked at twice but what is raised again.
+/// Passes a node's rank and latest finish on to its direct and indirect dependencies. A node is visited again
+/// only if it is raised again.
 void DependencyGraph::propagate_to_dependencies(Node& n) {
   std::deque<Node*> worklist{&n};
   while (!worklist.empty()) {
@@ -196,7 +199,8 @@
   }
 }
 
-/// After a dependent has ended: what it granted is taken back, as far up as it had gone.
+/// After a dependent of these nodes was cancelled: takes back the rank and latest finish that it passed on,
+/// also from their own dependencies, as far as that changes anything.
 void DependencyGraph::recompute_priorities(std::vector<Node*> from) {
   std::deque<Node*> worklist;
   for (Node* n : from)
@@ -217,7 +221,7 @@
 }
 
 void DependencyGraph::recompute_finish_times() {
-  // From the last jobs up: each once, after all that need it.
+  // In reverse topological order: each node once, after all its dependents.
   std::unordered_map<Node*, std::size_t> unvisited_dependents;
   std::deque<Node*> worklist;
   for (auto& [id, n] : nodes_) {
@@ -252,11 +256,12 @@
   if (auto it = nodes_.find(id); it != nodes_.end()) {
     const Node& n = it->second;
     goals.rank = std::max(goals.rank, n.rank);
-    goals.ready = std::max(goals.ready, n.ready);
+    goals.ready = std::max(goals.ready, n.ready_since);
     if (n.finish_by) goals.finish_by = n.finish_by;
   }
   if (goals.finish_by) return goals;
-  // Its last job may still be to come. The class's history may hurry it, but grants no priority.
+  // The pipeline's last job, with the deadline, may not be submitted yet. The class's history may set a
+  // finish time, but never raises the rank.
   auto h = history_.find(record.spec->job_class);
   if (h != history_.end() && h->second.jobs >= kMinHistoryJobs &&
       h->second.jobs_with_dependents * 4 >= h->second.jobs * 3 && h->second.finish_by_seconds > 0)
--- a/src/job/graph.h
+++ b/src/job/graph.h
@@ -1,9 +1,11 @@
-// Which jobs wait for which: readiness, cancellation, priority and deadlines along a pipeline. Socket-free:
-// fed each job's record as the state service holds it, in whatever order the records come.
+// The dependency graph of jobs: readiness, cancellation, priority and deadlines along pipelines. Does no I/O:
+// it is fed each job's record as the state service holds it, in any order.
 //
-// Invariant: a job is ready only once every job that it needs is recorded as done; an owner's belief or a
-// peer's message isn't enough. As done and cancelled are both final, a ready job has no needed job left to
-// cancel, and what stands below a cancelled job can never become ready.
+// Invariant: a job is ready only once every job that it depends on is recorded as done. An owner's own state
+// or a peer's message isn't enough. As done and cancelled are both final, a ready job has no dependency left
+// that could be cancelled, and a job that depends on a cancelled one can never become ready.
+//
+// A job is undecided while it is queued and none of its dependencies is cancelled.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -18,37 +20,41 @@
 
 namespace aspenwick::job {
 
-/// What a job is worth to those that need it. Times are times of day.
+/// A job's priority and times, with what it inherits from its undecided dependents, direct and indirect.
+/// Times are times of day.
 struct SchedulingGoals {
-  wire::Rank rank = wire::Rank::low;  // the highest of any undecided job that needs it
-  Micros ready = 0;                   // since when nothing that it needs is missing
-  std::optional<Micros> finish_by;    // so that what follows can be done by its deadline
+  wire::Rank rank = wire::Rank::low;  // the highest of its own and its dependents'
+  Micros ready = 0;                   // when the last of its dependencies was done, or it was submitted
+  std::optional<Micros> finish_by;    // its latest finish, so that its dependents can meet their deadlines
 };
 
+/// Keeps a node for each job that has dependencies or dependents. Not thread-safe.
 class DependencyGraph {
  public:
-  /// Finds any job's record, or null.
+  /// Returns any job's record, or null if it isn't known. Only called during update().
   using RecordLookup = std::function<const JobRecord*(const std::string&)>;
   explicit DependencyGraph(RecordLookup lookup) : lookup_(std::move(lookup)) {}
 
-  /// A record was read or committed. Repeated and older ones do no harm: final states are final.
+  /// A record was read or committed. Repeated and older records have no effect, since final states are final.
   void update(const std::string& id, const JobRecord& record);
 
-  /// Nothing that it needs is missing. Jobs that need nothing always are.
+  /// All its dependencies are done. Always true of jobs without any.
   bool is_ready(const std::string& id) const;
-  /// A job that it needs, directly or through others, is cancelled: users are told that it is cancelled too.
+  /// A direct or indirect dependency is cancelled. Users are told that the job is cancelled too.
   bool has_cancelled_dependency(const std::string& id) const;
-  /// All undecided jobs above it are known here; else a cancellation far above might be missed.
+  /// The specs of its undecided dependencies, direct and indirect, were all seen. Until then, the
+  /// cancellation of an indirect one may be missed.
   bool dependencies_known(const std::string& id) const;
-  /// The version of the last record that made it ready; 0 if it needs nothing.
+  /// The highest version of its dependencies' done records; 0 if it has no dependencies.
   std::uint64_t ready_version(const std::string& id) const;
+  /// `record` is the job's own.
   SchedulingGoals scheduling_goals(const std::string& id, const JobRecord& record) const;
 
-  /// Undecided jobs whose readiness or course has changed since last asked.
+  /// Undecided jobs whose readiness or scheduling goals have changed since the last call.
   std::vector<std::string> take_changed();
-  /// Below a cancelled job, while their own records still say queued.
+  /// Jobs with a cancelled dependency whose own records still say queued.
   const std::set<std::string>& to_cancel() const { return to_cancel_; }
-  /// Latest finishes with the stage lengths seen by now.
+  /// Recomputes all undecided jobs' latest finishes from the durations measured since.
   void recompute_finish_times();
 
  private:
@@ -58,17 +64,18 @@
     bool dependency_cancelled = false, in_worklist = false, changed = false;
     JobStatus status = JobStatus::queued;
     std::uint64_t version = 0, ready_version = 0;
-    Micros submitted = 0, finished = 0, ready = 0, estimate = 0;
+    Micros submitted = 0, finished = 0, ready_since = 0, estimate = 0;
     std::optional<Micros> deadline, finish_by;  // times of day
     wire::Rank own_rank = wire::Rank::low, rank = wire::Rank::low;
-    std::uint32_t open_dependencies = 0;  // needed jobs not recorded as done
+    std::uint32_t open_dependencies = 0;  // not recorded as done
     std::vector<Node*> dependencies, dependents;
 
     bool undecided() const { return status == JobStatus::queued && !dependency_cancelled; }
   };
+  /// What finished jobs of a class tell about its other jobs.
   struct ClassHistory {
-    double duration_factor = 1.2;  // of a stage, to its owner's guess
-    double finish_by_seconds = 0;  // seconds from submission to the latest finish, where jobs follow
+    double duration_factor = 1.2;  // measured duration relative to the estimate: moving average
+    double finish_by_seconds = 0;  // from submission to latest finish: moving average of jobs with dependents
     std::uint32_t jobs = 0, jobs_with_dependents = 0;
   };
 
--- a/src/job/record.cpp
+++ b/src/job/record.cpp
@@ -24,7 +24,7 @@
 RecordRows record_to_rows(const JobRecord& r, std::size_t limit, const std::string& tag) {
   RecordRows out{record_to_json(r), {}};
   if (out.value.dump().size() <= limit) return out;
-  // In ASCII it may be cut anywhere; what it takes inside a JSON string is counted.
+  // ASCII text can be cut anywhere. Sizes are those inside a JSON string, with escapes and quotes.
   const std::string text = out.value.at("spec").dump(-1, ' ', true);
   std::size_t size = limit;
   for (const char c : text) {
@@ -144,7 +144,7 @@
   if ((team->limit.cpus > 0 && concurrent_need.cpus > team->limit.cpus) ||
       (team->limit.gpus > 0 && concurrent_need.gpus > team->limit.gpus))
     return "the job needs more than the team's limit";
-  // A gang runs whole or not at all, with at most half of it, rounded up, in a zone.
+  // A gang runs whole or not at all. With `spread`, at most half of it, rounded up, may be in one zone.
   if (spec.shape == wire::Shape::gang && spec.spread && spec.tasks > 1) {
     std::set<std::string> zones;
     for (const auto& t : types)
