--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -118,12 +118,12 @@
     int share = -1;  // that can use it: the owner, or the one that it is drained for; -1: any
     std::size_t type = 0;
     std::string zone;
-    bool spot = false, empty = false, booting = false;
-    bool reserved = false, reserved_for_gpu = false;  // assigned to pending (GPU) tasks in this tick
-    wire::Resources free;                             // that tasks can be assigned to in this tick
-    wire::Resources unused;                           // beside all its tasks: the minimum over some time
-    bool unused_long_enough = false;                  // for at least kMinUnusedTime
-    int owner_share = -1;                             // also while it is drained for another share
+    // `reserved`: pending tasks were assigned to it in this tick; `reserved_for_gpu`: with GPUs.
+    bool spot = false, empty = false, reserved = false, reserved_for_gpu = false, booting = false;
+    wire::Resources free;             // that tasks can be assigned to in this tick
+    wire::Resources unused;           // beside all its tasks: the minimum over some time
+    bool unused_long_enough = false;  // for at least kMinUnusedTime
+    int owner_share = -1;             // also while it is drained for another share
     std::uint32_t idle_ms = 0;
     wire::Rank top_rank = wire::Rank::low;  // of its tasks
   };
