--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -114,8 +114,9 @@
 /// Whether the demand's tasks may run on the machine, if they fit.
 bool Provisioner::can_use(const PendingDemand& pending, const MachineCapacity& machine) const {
   if (!matches_constraints(pending, machine.type, machine.zone, machine.spot)) return false;
-  if (pending.demand.plain_only && types_[machine.type].total.gpus > 0) return false;
-  // Like the owner's placement, puts only preemptible work on machines that GPU work can use.
+  if (pending.demand.plain_only && types_[machine.type].total.gpus > 0)
+    return false;  // as in the owner's placement
+  // Also as there: puts only preemptible work on machines that GPU work can use.
   return pending.demand.need.gpus > 0 || machine.type >= gpu_work_types_.size() ||
          !gpu_work_types_[machine.type] || pending.demand.any_room ||
          (pending.demand.rank == wire::Rank::low && pending.demand.shape == wire::Shape::array &&
@@ -242,8 +243,8 @@
   plan.now = now;
   delete_failed_machines(plan, records);
   collect_demand_and_capacity(plan, shares, records);
-  // Every demand is assigned its own share's machines first, then machines that boot or can be moved, and the
-  // rest is rented.
+  // Demands other than gangs are assigned their own share's machines first, then machines that boot or can be
+  // moved. Machines are rented for the rest.
   for (auto& pending : plan.pending_demands) {
     if (pending.demand.shape == wire::Shape::gang) continue;
     for (auto& machine : plan.capacities)
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -118,8 +118,7 @@
     int share = -1;  // that can use it: the owner, or the one that it is drained for; -1: any
     std::size_t type = 0;
     std::string zone;
-    // `reserved`: taken in this tick, by tasks or a drain, so it isn't moved or released; `reserved_for_gpu`:
-    // by GPU work.
+    // `reserved`: taken in this tick, by pending tasks or a drain; `reserved_for_gpu`: by GPU work.
     bool spot = false, empty = false, reserved = false, reserved_for_gpu = false, booting = false;
     wire::Resources free;             // that tasks can be assigned to in this tick
     wire::Resources unused;           // beside all its tasks: the minimum over some time
