--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -133,8 +133,8 @@
   attribute_to_job(known, now);
 }
 
-void ShareController::set_priority_and_deadline(const std::string& id, const job::Course& course, Micros now,
-                                                Micros time_of_day) {
+void ShareController::set_priority_and_deadline(const std::string& id, const job::SchedulingGoals& course,
+                                                Micros now, Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -100,7 +100,7 @@
   /// Notes which machine types the GPU tasks of a job can use. Called for the jobs of all shares.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
   /// Sets a job's effective priority and deadline, which also depend on the jobs that wait for it.
-  void set_priority_and_deadline(const std::string& id, const job::Course& course, Micros now,
+  void set_priority_and_deadline(const std::string& id, const job::SchedulingGoals& course, Micros now,
                                  Micros time_of_day);
   /// All job records are known as of `as_of` or later: a job without a record by then was not accepted
   /// before `as_of`.
--- a/src/share/share_controller_progress.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -28,7 +28,7 @@
     return;
   }
   Job& j = *it->second;
-  if (row >= kFirstUnitRow ? row - kFirstUnitRow >= j.done.chunks() * DoneSet::kUnitsInChunk
+  if (row >= kFirstUnitRow ? row - kFirstUnitRow >= j.done.chunks() * DoneSet::kUnitsPerChunk
                            : row >= j.done.chunks())
     return;
   row >= kFirstUnitRow ? j.done.merge_unit(row - kFirstUnitRow, text) : j.done.merge_chunk(row, text);
@@ -75,7 +75,7 @@
   // A whole chunk is written as long as its text fits into one value, because all versions read chunk rows.
   // After that, each unit gets its own row and the chunk's row is left as it is: shortening it would lose the
   // results that only it records.
-  const std::uint32_t chunk = unit / DoneSet::kUnitsInChunk;
+  const std::uint32_t chunk = unit / DoneSet::kUnitsPerChunk;
   std::string text = j.done.chunk_text(chunk);
   const bool as_chunk = text.size() + 2 <= platform_.value_room();
   const std::uint32_t row = as_chunk ? chunk : kFirstUnitRow + unit;
@@ -83,8 +83,8 @@
   if (!as_chunk) text = j.done.unit_text(unit);
   out.push_back({j.id, row, std::move(text), j.row_versions[row]});
   j.in_flight.insert(row);
-  const std::uint32_t first = as_chunk ? chunk * DoneSet::kUnitsInChunk : unit;
-  const std::uint32_t end = as_chunk ? (chunk + 1) * DoneSet::kUnitsInChunk : unit + 1;
+  const std::uint32_t first = as_chunk ? chunk * DoneSet::kUnitsPerChunk : unit;
+  const std::uint32_t end = as_chunk ? (chunk + 1) * DoneSet::kUnitsPerChunk : unit + 1;
   j.dirty.erase(j.dirty.lower_bound(first), j.dirty.lower_bound(end));
 }
 
@@ -119,8 +119,8 @@
   j.row_versions[w.row] = version;
   if (ok) return merge_recorded_row(j, w.row, w.text);
   if (w.row >= kFirstUnitRow) j.dirty.insert(w.row - kFirstUnitRow);
-  for (std::uint32_t u = 0; w.row < kFirstUnitRow && u < DoneSet::kUnitsInChunk; ++u) {
-    const std::uint32_t unit = w.row * DoneSet::kUnitsInChunk + u;
+  for (std::uint32_t u = 0; w.row < kFirstUnitRow && u < DoneSet::kUnitsPerChunk; ++u) {
+    const std::uint32_t unit = w.row * DoneSet::kUnitsPerChunk + u;
     if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty.insert(unit);
   }
 }
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -190,7 +190,7 @@
 /// Marks a task as done. Returns whether that is new.
 bool ShareController::mark_done(Job& j, std::uint32_t index) {
   if (!j.done.set(index)) return false;
-  j.dirty.insert(index / DoneSet::kUnit);
+  j.dirty.insert(index / DoneSet::kUnitTasks);
   j.again.erase(index);
   complete_gang(j);
   return true;
@@ -202,7 +202,7 @@
 void ShareController::complete_gang(Job& j) {
   if (j.spec->shape != Shape::gang || j.done.count() == 0) return;
   for (std::uint32_t i = 0; i < j.spec->tasks; ++i)
-    if (j.done.set(i)) j.dirty.insert(i / DoneSet::kUnit);
+    if (j.done.set(i)) j.dirty.insert(i / DoneSet::kUnitTasks);
   j.again.clear();
 }
 
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -73,7 +73,7 @@
   for (const Machine* m : view_.all)
     for (const auto& [task, result] : m->results)
       if (!view_.jobs.contains(task.first) && result_copy_needed(task, result.since))
-        chunks.emplace(task.first, task.second / DoneSet::kChunk);
+        chunks.emplace(task.first, task.second / DoneSet::kChunkTasks);
   return chunks;
 }
 
@@ -126,7 +126,7 @@
     std::set<std::string> counted;
     for (const auto& [task, result] : m->results) {
       WriteUrgency& u = urgent[task.first];
-      u.units.insert(task.second / DoneSet::kUnit);
+      u.units.insert(task.second / DoneSet::kUnitTasks);
       if (!counted.insert(task.first).second) continue;
       ++(m->taken_at ? u.machines_being_reclaimed : u.machines_to_release);
     }
