--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -10,21 +10,22 @@
 using net::Method;
 
 namespace {
-constexpr Micros kTick = 250 * kMillisecond;
-constexpr Micros kSoon = 15 * kMillisecond;
-constexpr Micros kGossip = 500 * kMillisecond;
-constexpr Micros kHeartbeat = 250 * kMillisecond;
-constexpr Micros kLead = 500 * kMillisecond;
-constexpr Micros kStoodStill = 4 * kLead;  // between two calls that are due every kLead
-constexpr Micros kReports = 2;             // of a worker: the first may find us before our lease is renewed
-constexpr Micros kWorkerGivesUp = 4 * kSecond;  // on an answer to a report that found us standing still
-constexpr Micros kKeep = 200 * kMillisecond;
-constexpr Micros kReplan = 5 * kSecond;
-constexpr Micros kMetrics = 10 * kSecond;
+constexpr Micros kTickInterval = 250 * kMillisecond;
+constexpr Micros kScheduledTickDelay = 15 * kMillisecond;
+constexpr Micros kGossipInterval = 500 * kMillisecond;
+constexpr Micros kHeartbeatInterval = 250 * kMillisecond;
+constexpr Micros kLeaderInterval = 500 * kMillisecond;
+constexpr Micros kPauseThreshold =
+    4 * kLeaderInterval;                  // between two calls that are due every kLeaderInterval
+constexpr Micros kReportsAfterPause = 2;  // of a worker: the first may find us before our lease is renewed
+constexpr Micros kWorkerReportTimeout = 4 * kSecond;  // on an answer to a report that found us standing still
+constexpr Micros kOwnershipInterval = 200 * kMillisecond;
+constexpr Micros kReplanInterval = 5 * kSecond;
+constexpr Micros kMetricsInterval = 10 * kSecond;
 
 /// Only the reasons that occurred.
-template <class Reason, std::size_t kReasons>
-std::string counts_text(const std::array<std::uint64_t, kReasons>& counts) {
+template <class Reason, std::size_t kReasonCount>
+std::string format_counts(const std::array<std::uint64_t, kReasonCount>& counts) {
   std::string text;
   for (std::size_t i = 0; i < counts.size(); ++i)
     if (counts[i] > 0)
@@ -33,183 +34,190 @@
 }
 }  // namespace
 
-Controller::Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops, Needs needs)
-    : loop_(needs.loop),
-      reports_every_(platform.report),
-      store_(loop_, needs.http, platform),
+Controller::Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops,
+                       Dependencies dependencies)
+    : loop_(dependencies.loop),
+      report_interval_(platform.report),
+      store_(loop_, dependencies.http, platform),
       records_(platform, {loop_, store_,
                           [this](const std::string& id, const job::JobRecord& record) {
-                            owned_shares_.job_seen(id, record);
+                            owned_shares_.job_updated(id, record);
                           },
                           [this](const std::string& id, std::uint64_t revision) {
-                            peer_service_.cancellation_known(id, revision);
+                            peer_service_.on_cancellation_known(id, revision);
                           }}),
-      owned_shares_(platform, ops, {loop_, store_, records_, [this] { poke(); }}),
-      result_writer_(platform, {loop_, store_, records_, owned_shares_, [this] { poke(); }}),
-      peer_service_(platform, needs.incarnation,
-                    {loop_, needs.peers, store_, records_, owned_shares_,
-                     [this](const std::string& m, int to) { result_writer_.move_machine(m, to); },
-                     [this](const share::StatusTell& t) { job_api_.told(t); }, [this] { poke(); }}),
+      owned_shares_(platform, ops, {loop_, store_, records_, [this] { schedule_tick(); }}),
+      result_writer_(platform, {loop_, store_, records_, owned_shares_, [this] { schedule_tick(); }}),
+      peer_service_(
+          platform, dependencies.incarnation,
+          {loop_, dependencies.peers, store_, records_, owned_shares_,
+           [this](const std::string& m, int to) { result_writer_.move_machine(m, to); },
+           [this](const share::StatusTell& t) { job_api_.on_peer_status(t); }, [this] { schedule_tick(); }}),
       leader_(platform, ops.renting, records_.types(), records_.machines(),
-              {[this] { return loop_.now(); }, needs.http, [this] { return peer_service_.all_shares(); },
+              {[this] { return loop_.now(); }, dependencies.http,
+               [this] { return peer_service_.all_share_states(); },
                [this](const auto& types) { records_.write_types(types); },
-               [this](const fleet::Move& move) { peer_service_.give(move); },
-               [this](const auto& ids) { records_.forget_machines(ids); }}),
-      job_api_(
-          platform, needs.incarnation,
-          {loop_, store_, needs.peers, records_, owned_shares_,
-           [this](const std::string& job) { peer_service_.cancelled(job); },
-           [this](const std::string& job) { return peer_service_.may_confirm(job); }, [this] { poke(); }}),
-      worker_api_(platform,
-                  {loop_, needs.workers, store_, records_, owned_shares_,
-                   [this](const wire::WorkerReport& r) {
-                     return leader_.share_for(r.machine, r.type, owned_shares_.ownership().shares());
-                   },
-                   [this](const std::string& m) { leader_.adopted(m); },
-                   [this](int share) { return peer_service_.told_owner(share); }, [this] { poke(); }}) {
-  store_.observe([this](Micros took) { state_calls_.add(took); });
-  store_.watch(kShared,
-               {[this](const std::vector<wire::Row>& rows, std::uint64_t as_of) { reset(rows, as_of); },
-                [this](const std::vector<wire::Row>& rows) { changed(rows); },
-                [this] {
-                  owned_shares_.records_read();
-                  poke();
-                }});
-  loop_.every(kTick, [this] { tick(); });
-  owned_shares_.find_former();
-  loop_.every(kGossip, [this] { peer_service_.gossip(); });
-  loop_.every(kHeartbeat, [this] { peer_service_.heartbeat(); });
-  loop_.every(kLead, [this] { lead(); });
-  loop_.every(kKeep, [this] { owned_shares_.tick(); });
-  loop_.every(kReplan, [this] { replan(); });
-  loop_.every(kMetrics, [this] { metrics(); });
+               [this](const fleet::Move& move) { peer_service_.execute_move(move); },
+               [this](const auto& ids) { records_.delete_machines(ids); }}),
+      job_api_(platform, dependencies.incarnation,
+               {loop_, store_, dependencies.peers, records_, owned_shares_,
+                [this](const std::string& job) { peer_service_.broadcast_cancellation(job); },
+                [this](const std::string& job) { return peer_service_.may_confirm_cancellation(job); },
+                [this] { schedule_tick(); }}),
+      worker_api_(
+          platform,
+          {loop_, dependencies.workers, store_, records_, owned_shares_,
+           [this](const wire::WorkerReport& r) {
+             return leader_.share_for(r.machine, r.type, owned_shares_.ownership().shares());
+           },
+           [this](const std::string& m) { leader_.machine_registered(m); },
+           [this](int share) { return peer_service_.reported_owner(share); }, [this] { schedule_tick(); }}) {
+  store_.observe([this](Micros took) { state_call_times_.record(took); });
+  store_.watch(kSharedPrefix, {[this](const std::vector<wire::Row>& rows, std::uint64_t as_of) {
+                                 on_watch_reset(rows, as_of);
+                               },
+                               [this](const std::vector<wire::Row>& rows) { on_watch_changes(rows); },
+                               [this] {
+                                 owned_shares_.on_records_refreshed();
+                                 schedule_tick();
+                               }});
+  loop_.every(kTickInterval, [this] { tick(); });
+  owned_shares_.find_former_lease();
+  loop_.every(kGossipInterval, [this] { peer_service_.send_gossip(); });
+  loop_.every(kHeartbeatInterval, [this] { peer_service_.send_heartbeats(); });
+  loop_.every(kLeaderInterval, [this] { run_leader(); });
+  loop_.every(kOwnershipInterval, [this] { owned_shares_.tick(); });
+  loop_.every(kReplanInterval, [this] { replan_jobs(); });
+  loop_.every(kMetricsInterval, [this] { log_metrics(); });
 }
 
 // ---------------------------------------------------------------- requests and frames
 
-void Controller::asked(const ExchangePtr& x) {
-  const std::string path = x->path();
-  const bool get = x->method() == Method::get, post = x->method() == Method::post;
-  static const std::string kJobs = "/v1/jobs";
-  if (path == kReportPath) return post ? worker_api_.report(x) : x->refuse_method("POST");
-  if (path == "/ready") return get ? ready(x) : x->refuse_method("GET");
-  if (path == kJobs) return post ? job_api_.submit(x) : x->refuse_method("POST");
-  if (path.starts_with(kJobs + "/")) {
-    std::string id = path.substr(kJobs.size() + 1);
-    static const std::string kWithdraw = "/withdraw";
-    const bool to_cancel = id.ends_with(kWithdraw);
-    if (to_cancel) id.resize(id.size() - kWithdraw.size());
+void Controller::handle_request(const ExchangePtr& exchange) {
+  const std::string path = exchange->path();
+  const bool get = exchange->method() == Method::get, post = exchange->method() == Method::post;
+  static const std::string kJobsPath = "/v1/jobs";
+  if (path == kReportPath)
+    return post ? worker_api_.handle_report(exchange) : exchange->refuse_method("POST");
+  if (path == "/ready") return get ? handle_ready(exchange) : exchange->refuse_method("GET");
+  if (path == kJobsPath) return post ? job_api_.submit(exchange) : exchange->refuse_method("POST");
+  if (path.starts_with(kJobsPath + "/")) {
+    std::string id = path.substr(kJobsPath.size() + 1);
+    static const std::string kCancelSuffix = "/withdraw";
+    const bool to_cancel = id.ends_with(kCancelSuffix);
+    if (to_cancel) id.resize(id.size() - kCancelSuffix.size());
     if (id.find('/') != std::string::npos || id.empty())
-      return x->answer(404, wire::error_body("no such path"));
-    if (to_cancel ? !post : !get) return x->refuse_method(to_cancel ? "POST" : "GET");
-    if (!wire::valid_job_id(id)) return x->answer(404, wire::error_body("no such job"));
-    return to_cancel ? job_api_.cancel(x, id) : job_api_.status(x, id);
+      return exchange->answer(404, wire::error_body("no such path"));
+    if (to_cancel ? !post : !get) return exchange->refuse_method(to_cancel ? "POST" : "GET");
+    if (!wire::valid_job_id(id)) return exchange->answer(404, wire::error_body("no such job"));
+    return to_cancel ? job_api_.cancel(exchange, id) : job_api_.status(exchange, id);
   }
-  x->answer(404, wire::error_body("no such path"));
+  exchange->answer(404, wire::error_body("no such path"));
 }
 
-void Controller::ready(const ExchangePtr& x) {
+void Controller::handle_ready(const ExchangePtr& exchange) {
   // A common outage leaves nothing better to send users to; a node refused alone, or cut off from the state
   // service and all peers, steps aside: users who stayed with it were told nothing until the cut was over.
-  if (!records_.synced()) return x->answer(503, wire::error_body("starting"));
+  if (!records_.synced()) return exchange->answer(503, wire::error_body("starting"));
   if (owned_shares_.ownership().refused_alone(loop_.now()) || owned_shares_.ownership().cut_off(loop_.now()))
-    return x->answer(503, wire::error_body("no state service"));
-  x->answer(200, R"({"ready":true})");
+    return exchange->answer(503, wire::error_body("no state service"));
+  exchange->answer(200, R"({"ready":true})");
 }
 
-void Controller::heard(const share::Frame& frame, const share::Peers::Reply& reply) {
-  peer_service_.heard(frame, reply);
+void Controller::handle_frame(const share::Frame& frame, const share::Peers::Reply& reply) {
+  peer_service_.handle_frame(frame, reply);
 }
 
 // ---------------------------------------------------------------- the watch
 
-void Controller::apply(const wire::Row& row) {
+void Controller::apply_row(const wire::Row& row) {
   if (!records_.apply(row)) owned_shares_.apply(row);
 }
 
-void Controller::reset(const std::vector<wire::Row>& rows, std::uint64_t as_of) {
+void Controller::on_watch_reset(const std::vector<wire::Row>& rows, std::uint64_t as_of) {
   const bool first = !records_.synced();
   std::set<std::string> seen;
   for (const auto& r : rows) seen.insert(r.key);
-  owned_shares_.reading_keys();
+  owned_shares_.begin_key_reload();
   // Machines and jobs before keys: a share's controller is made from all that was there when it was taken.
-  for (const auto& key : records_.missing(seen, as_of)) apply({key, nullptr, as_of, true});
-  for (const auto& key : owned_shares_.missing(seen, as_of, first)) apply({key, nullptr, as_of, true});
-  for (const auto& r : rows) apply(r);
-  owned_shares_.keys_read();
-  records_.in_step();
-  records_.follow_graph();
+  for (const auto& key : records_.missing_keys(seen, as_of)) apply_row({key, nullptr, as_of, true});
+  for (const auto& key : owned_shares_.missing_keys(seen, as_of, first))
+    apply_row({key, nullptr, as_of, true});
+  for (const auto& r : rows) apply_row(r);
+  owned_shares_.finish_key_reload();
+  records_.mark_synced();
+  records_.publish_graph_changes();
   if (first) {
     spdlog::info("in step with the state service: {} jobs, {} machines", records_.jobs().size(),
                  records_.machines().size());
   }
-  owned_shares_.sync();
+  owned_shares_.sync_controllers();
   owned_shares_.tick();
-  peer_service_.keys_seen();
+  peer_service_.on_keys_changed();
 }
 
-void Controller::changed(const std::vector<wire::Row>& rows) {
-  for (const auto& r : rows) apply(r);
-  records_.follow_graph();
-  owned_shares_.sync();
-  peer_service_.keys_seen();
-  poke();
+void Controller::on_watch_changes(const std::vector<wire::Row>& rows) {
+  for (const auto& r : rows) apply_row(r);
+  records_.publish_graph_changes();
+  owned_shares_.sync_controllers();
+  peer_service_.on_keys_changed();
+  schedule_tick();
 }
 
 // ---------------------------------------------------------------- time
 
-void Controller::poke() {
-  if (tick_soon_) return;
-  tick_soon_ = true;
-  loop_.later(kSoon, [this] { tick(); });
+void Controller::schedule_tick() {
+  if (tick_scheduled_) return;
+  tick_scheduled_ = true;
+  loop_.later(kScheduledTickDelay, [this] { tick(); });
 }
 
 void Controller::tick() {
-  tick_soon_ = false;
+  tick_scheduled_ = false;
   bool more = false;
   for (auto& [s, owned] : owned_shares_.all()) {
     const Micros began = loop_.now();
-    more |= owned.controller->tick(began, owned_shares_.refusal(owned));
-    planning_.add(loop_.now() - began);
-    for (const Micros w : owned.controller->take_waits()) waits_.add(w);
-    for (const Micros w : owned.controller->take_result_waits()) result_waits_.add(w);
+    more |= owned.controller->tick(began, owned_shares_.start_refusal(owned));
+    planning_times_.record(loop_.now() - began);
+    for (const Micros w : owned.controller->take_waits()) task_waits_.record(w);
+    for (const Micros w : owned.controller->take_result_waits()) result_waits_.record(w);
   }
   for (auto& [s, owned] : owned_shares_.all())
     for (const auto& [machine, to] : owned.controller->drained()) result_writer_.move_machine(machine, to);
   worker_api_.push_orders();
   result_writer_.tick();
-  if (more) poke();
+  if (more) schedule_tick();
 }
 
-void Controller::lead() {
-  notice_pause();
+void Controller::run_leader() {
+  detect_pause();
   // Until machine types are known no share can be told: nothing is rented before, and the leader asks for
   // them.
-  if (!owned_shares_.leading() || !(records_.types().empty() || peer_service_.heard_all()))
-    return leader_.rest();
-  if (owned_shares_.leading_refusal() == place::StartRefusal::none && loop_.now() >= plans_after_)
-    leader_.lead(owned_shares_.ownership().leader()->epoch);
+  if (!owned_shares_.is_leader() || !(records_.types().empty() || peer_service_.heard_from_all_shares()))
+    return leader_.step_down();
+  if (owned_shares_.leader_refusal() == place::StartRefusal::none && loop_.now() >= leader_paused_until_)
+    leader_.run(owned_shares_.ownership().leader()->epoch);
   else
-    ++lead_refused_;
+    ++leader_runs_refused_;
 }
 
 /// We stood still: what our machines and the other shares say is as old as the pause, and a leader would rent
 /// for all that waits in its own share. One round of reports tells more.
-void Controller::notice_pause() {
+void Controller::detect_pause() {
   const Micros now = loop_.now();
-  const Micros since_last = last_lead_ == 0 ? 0 : now - last_lead_;
-  last_lead_ = now;
-  if (since_last <= kStoodStill) return;
-  plans_after_ = now + kWorkerGivesUp + kReports * reports_every_;
-  spdlog::info("this process stood still for {:.1f} s", to_seconds(since_last - kLead));
+  const Micros since_last = last_leader_run_ == 0 ? 0 : now - last_leader_run_;
+  last_leader_run_ = now;
+  if (since_last <= kPauseThreshold) return;
+  leader_paused_until_ = now + kWorkerReportTimeout + kReportsAfterPause * report_interval_;
+  spdlog::info("this process stood still for {:.1f} s", to_seconds(since_last - kLeaderInterval));
 }
 
-void Controller::replan() {
+void Controller::replan_jobs() {
   records_.replan();
-  records_.follow_graph();
+  records_.publish_graph_changes();
 }
 
-void Controller::result_metrics(int share, const share::ShareController& controller) const {
+void Controller::log_result_metrics(int share, const share::ShareController& controller) const {
   const auto held = controller.held_results(loop_.now());
   spdlog::info("metrics: share {} results not recorded: {} on {} machines, the oldest for {:.1f} s", share,
                held.results, held.machines, to_seconds(held.oldest));
@@ -220,10 +228,10 @@
       share, a.open_attempts, a.open_results, a.attributed_attempts, a.attributed_results, a.dropped_attempts,
       a.dropped_results);
   spdlog::info("metrics: share {} releases refused:{}", share,
-               counts_text<place::ReleaseRefusal>(controller.releases_refused()));
+               format_counts<place::ReleaseRefusal>(controller.releases_refused()));
 }
 
-void Controller::metrics() {
+void Controller::log_metrics() {
   for (const auto& [share, owned] : owned_shares_.all()) {
     struct Sum {
       std::size_t machines = 0;
@@ -245,25 +253,26 @@
                    sum.free.gpus / 1'000'000, sum.total.gpus / 1'000'000);
     spdlog::info("metrics: share {} waiting tasks {}", share, owned.controller->waiting());
     spdlog::info("metrics: share {} attempts freed:{}", share,
-                 counts_text<place::Freed>(owned.controller->freed()));
+                 format_counts<place::Freed>(owned.controller->freed()));
     spdlog::info("metrics: share {} starts refused:{}", share,
-                 counts_text<place::StartRefusal>(owned.controller->refused()));
-    result_metrics(share, *owned.controller);
+                 format_counts<place::StartRefusal>(owned.controller->refused()));
+    log_result_metrics(share, *owned.controller);
   }
   for (std::size_t i = 0; i < place::kInvariants; ++i)
     if (const auto count = place::violations().at(i); count > 0)
       spdlog::error("metrics: invariant violated {} times: {}", count,
                     place::to_string(static_cast<place::Invariant>(i)));
   spdlog::info("metrics: waits {}, planning {}, state calls {}, empty machines that waited for results {}",
-               waits_.text(), planning_.text(), state_calls_.text(), result_waits_.text());
+               task_waits_.summary(), planning_times_.summary(), state_call_times_.summary(),
+               result_waits_.summary());
   spdlog::info(
       "metrics: records as of {:.3f} s ago, {} catch-ups, {} old answers of the state service, "
       "{} plans of the leader refused",
-      to_seconds(loop_.now() - records_.read_as_of()), store_.catch_ups(), store_.old_answers(),
-      lead_refused_);
-  spdlog::info("metrics: reports {} users {} jobs {} machines {} shares {}{}", worker_api_.reports(),
-               job_api_.requests(), records_.jobs().size(), records_.machines().size(),
-               owned_shares_.all().size(), owned_shares_.leading() ? " leader" : "");
+      to_seconds(loop_.now() - records_.records_as_of()), store_.catch_ups(), store_.old_answers(),
+      leader_runs_refused_);
+  spdlog::info("metrics: reports {} users {} jobs {} machines {} shares {}{}", worker_api_.report_count(),
+               job_api_.request_count(), records_.jobs().size(), records_.machines().size(),
+               owned_shares_.all().size(), owned_shares_.is_leader() ? " leader" : "");
 }
 
 }  // namespace aspenwick::app
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "app/job_api.h"
-#include "app/latency.h"
+#include "app/latency_histogram.h"
 #include "app/leader.h"
 #include "app/operator_settings.h"
 #include "app/owned_shares.h"
@@ -25,7 +25,7 @@
 
 class Controller {
  public:
-  struct Needs {
+  struct Dependencies {
     net::Loop& loop;
     net::Requester& http;     // to the state service and the cloud
     net::Requester& workers;  // orders to machines
@@ -33,30 +33,30 @@
     std::uint64_t incarnation;  // of this process, drawn at random, not 0
   };
   /// The settings must outlive it; so must what it needs, and the loop must not run on without it.
-  Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops, Needs needs);
+  Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops, Dependencies dependencies);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
   /// A request came in, from a user, a worker or the load balancer; it is answered now or later.
-  void asked(const net::ExchangePtr& x);
+  void handle_request(const net::ExchangePtr& exchange);
   /// A frame came from a peer.
-  void heard(const share::Frame& frame, const share::Peers::Reply& reply);
+  void handle_frame(const share::Frame& frame, const share::Peers::Reply& reply);
 
  private:
-  void ready(const net::ExchangePtr& x);
-  void apply(const wire::Row& row);
-  void reset(const std::vector<wire::Row>& rows, std::uint64_t as_of);
-  void changed(const std::vector<wire::Row>& rows);
-  void poke();
+  void handle_ready(const net::ExchangePtr& exchange);
+  void apply_row(const wire::Row& row);
+  void on_watch_reset(const std::vector<wire::Row>& rows, std::uint64_t as_of);
+  void on_watch_changes(const std::vector<wire::Row>& rows);
+  void schedule_tick();
   void tick();
-  void lead();
-  void notice_pause();
-  void replan();
-  void metrics();
-  void result_metrics(int share, const share::ShareController& controller) const;
+  void run_leader();
+  void detect_pause();
+  void replan_jobs();
+  void log_metrics();
+  void log_result_metrics(int share, const share::ShareController& controller) const;
 
   net::Loop& loop_;
-  const Micros reports_every_;
+  const Micros report_interval_;
   store::Client store_;
   Records records_;
   OwnedShares owned_shares_;
@@ -65,10 +65,10 @@
   Leader leader_;
   JobApi job_api_;
   WorkerApi worker_api_;
-  bool tick_soon_ = false;
-  Micros last_lead_ = 0, plans_after_ = 0;
-  std::uint64_t lead_refused_ = 0;  // times that it was due to plan and its view was too old
-  Latency waits_, planning_, state_calls_, result_waits_;
+  bool tick_scheduled_ = false;
+  Micros last_leader_run_ = 0, leader_paused_until_ = 0;
+  std::uint64_t leader_runs_refused_ = 0;  // times that it was due to plan and its view was too old
+  LatencyHistogram task_waits_, planning_times_, state_call_times_, result_waits_;
 };
 
 }  // namespace aspenwick::app
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -20,68 +20,69 @@
 
 class JobApi {
  public:
-  struct Needs {
+  struct Dependencies {
     net::Loop& loop;
     store::Client& store;
     share::Peers& peers;
     Records& records;
     OwnedShares& owned_shares;
     /// Tells the peers, ahead of the watch.
-    std::function<void(const std::string& job)> cancelled;
+    std::function<void(const std::string& job)> announce_cancellation;
     /// Users may be told of its cancellation.
-    std::function<bool(const std::string& job)> may_confirm;
-    std::function<void()> poke;
+    std::function<bool(const std::string& job)> may_confirm_cancellation;
+    std::function<void()> schedule_tick;
   };
-  JobApi(const wire::PlatformSettings& platform, std::uint64_t incarnation, Needs needs)
-      : platform_(platform), incarnation_(incarnation), needs_(std::move(needs)) {}
+  JobApi(const wire::PlatformSettings& platform, std::uint64_t incarnation, Dependencies dependencies)
+      : platform_(platform), incarnation_(incarnation), deps_(std::move(dependencies)) {}
 
-  void submit(const net::ExchangePtr& x);
-  void status(const net::ExchangePtr& x, const std::string& id);
-  void cancel(const net::ExchangePtr& x, const std::string& id);
+  void submit(const net::ExchangePtr& exchange);
+  void status(const net::ExchangePtr& exchange, const std::string& id);
+  void cancel(const net::ExchangePtr& exchange, const std::string& id);
 
   /// A peer's word on a job of a share that it holds.
-  void told(const share::StatusTell& tell);
-  std::uint64_t requests() const { return requests_; }
+  void on_peer_status(const share::StatusTell& tell);
+  std::uint64_t request_count() const { return request_count_; }
 
  private:
   /// A submission whose needed jobs are being looked up.
   struct Submission {
     net::ExchangePtr exchange;
     job::JobRecord record;
-    std::size_t next_need = 0;
+    std::size_t next_needed_job = 0;
     int asked = 0;
     job::RecordRows rows;
     std::string tag;
     std::size_t next_part = 0;
   };
-  using Tally = std::pair<std::uint32_t, std::uint32_t>;  // tasks that are done, and that run
-  struct StatusWait {
+  using TaskCounts = std::pair<std::uint32_t, std::uint32_t>;  // tasks that are done, and that run
+  struct PendingStatus {
     net::ExchangePtr exchange;
     std::string job;
   };
 
-  void check_needs(const std::shared_ptr<Submission>& s);
-  void accept(const std::shared_ptr<Submission>& s);
-  void write_record(const std::shared_ptr<Submission>& s);
-  void accepted_before(const std::shared_ptr<Submission>& s);
-  void tell(const net::ExchangePtr& x, const std::string& id);
-  void refuse(const net::ExchangePtr& x, int code, const std::string& id, const std::string& why);
-  void answer(const net::ExchangePtr& x, int code, const std::string& id);
-  bool answer_final(const net::ExchangePtr& x, const std::string& id);
-  void confirm(const net::ExchangePtr& x, const std::string& id, Micros until);
-  void note_tally(const std::string& id, Tally tally);
-  void look_up(const net::ExchangePtr& x, const std::string& id);
-  void tell_tally(const net::ExchangePtr& x, const std::string& id);
-  void cancel(const net::ExchangePtr& x, const std::string& id, int tries);
-  void retry(const net::ExchangePtr& x, const std::string& why);
+  void check_needed_jobs(const std::shared_ptr<Submission>& submission);
+  void accept(const std::shared_ptr<Submission>& submission);
+  void write_record(const std::shared_ptr<Submission>& submission);
+  void handle_duplicate(const std::shared_ptr<Submission>& submission);
+  void report_status(const net::ExchangePtr& exchange, const std::string& id);
+  void reject(const net::ExchangePtr& exchange, int code, const std::string& id, const std::string& reason);
+  void answer_with_status(const net::ExchangePtr& exchange, int code, const std::string& id);
+  bool answer_if_final(const net::ExchangePtr& exchange, const std::string& id);
+  void confirm_cancellation(const net::ExchangePtr& exchange, const std::string& id, Micros until);
+  void cache_task_counts(const std::string& id, TaskCounts counts);
+  void look_up_job(const net::ExchangePtr& exchange, const std::string& id);
+  void answer_with_task_counts(const net::ExchangePtr& exchange, const std::string& id);
+  void cancel(const net::ExchangePtr& exchange, const std::string& id, int tries);
+  void answer_retry(const net::ExchangePtr& exchange, const std::string& reason);
 
   const wire::PlatformSettings& platform_;
   const std::uint64_t incarnation_;  // of our process
-  Needs needs_;
-  std::uint64_t tags_ = 0, requests_ = 0;
-  std::uint32_t asked_ = 0;
-  std::map<std::uint32_t, StatusWait> asks_;
-  std::unordered_map<std::string, Tally> tallies_;  // of jobs that were not over, as their owners told last
+  Dependencies deps_;
+  std::uint64_t last_tag_ = 0, request_count_ = 0;
+  std::uint32_t last_status_request_ = 0;
+  std::map<std::uint32_t, PendingStatus> pending_status_;
+  std::unordered_map<std::string, TaskCounts>
+      task_counts_;  // of jobs that were not over, as their owners told last
 };
 
 }  // namespace aspenwick::app
--- a/src/app/latency.h
+++ b/src/app/latency_histogram.h
@@ -8,19 +8,19 @@
 
 namespace aspenwick::app {
 
-class Latency {
+class LatencyHistogram {
  public:
-  Latency();
-  ~Latency();
-  Latency(const Latency&) = delete;
-  Latency& operator=(const Latency&) = delete;
+  LatencyHistogram();
+  ~LatencyHistogram();
+  LatencyHistogram(const LatencyHistogram&) = delete;
+  LatencyHistogram& operator=(const LatencyHistogram&) = delete;
 
-  void add(Micros took);
+  void record(Micros duration);
   /// An upper bound of what this part of all took, exact to a tenth; 0 if nothing was counted.
-  Micros quantile(double part) const;
+  Micros quantile(double fraction) const;
   std::uint64_t count() const;
   /// "12 of 1.2/30.0 ms" for p50 and p99.
-  std::string text() const;
+  std::string summary() const;
 
  private:
   struct Bins;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "app/controller.h"
-#include "app/sockets.h"
+#include "app/socket_budget.h"
 #include "net/event_loop.h"
 #include "net/http.h"
 #include "net/patience.h"
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr aspenwick::Micros kSocketsSaid = 10 * aspenwick::kSecond;
+constexpr aspenwick::Micros kSocketMetricsInterval = 10 * aspenwick::kSecond;
 
 void start_log() {
   auto log = std::make_shared<spdlog::logger>("aspenwick", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -42,42 +42,44 @@
 }
 
 /// The node on libevent: its loop, its sockets, and the controller between them.
-void serve(const aspenwick::wire::PlatformSettings& platform, const aspenwick::app::OperatorSettings& ops) {
+void run_node(const aspenwick::wire::PlatformSettings& platform,
+              const aspenwick::app::OperatorSettings& ops) {
   using namespace aspenwick;
-  constexpr std::size_t kToAWorker = 2;  // connections
-  constexpr int kBindTimes = 100;
-  constexpr Micros kBindPause = 100 * kMillisecond, kIdle = 30 * kSecond;
+  constexpr std::size_t kConnectionsPerWorker = 2;  // connections
+  constexpr int kBindAttempts = 100;
+  constexpr Micros kBindRetryDelay = 100 * kMillisecond, kIdleTimeout = 30 * kSecond;
   const auto budget = app::socket_budget(platform);
   net::EventLoop loop;
-  net::Client http(loop.base(), app::SocketBudget::kToAService);
-  net::Client workers(loop.base(), kToAWorker, budget.pushes);
+  net::Client http(loop.base(), app::SocketBudget::kMaxServiceConnections);
+  net::Client workers(loop.base(), kConnectionsPerWorker, budget.max_pushes);
   std::unique_ptr<app::Controller> controller;
   // Both ports first: while they are ours, no former process of this node lives.
   const auto peers = net::patiently(
       [&] {
         return std::make_unique<share::PeerLink>(
-            loop.base(), platform,
-            [&](const share::Frame& f, const share::Peers::Reply& reply) { controller->heard(f, reply); });
+            loop.base(), platform, [&](const share::Frame& f, const share::Peers::Reply& reply) {
+              controller->handle_frame(f, reply);
+            });
       },
-      kBindTimes, kBindPause);
+      kBindAttempts, kBindRetryDelay);
   const auto server = net::patiently(
       [&] {
         return std::make_unique<net::Server>(
             loop.base(), platform.listen,
-            net::Server::Limits{budget.callers, std::max(kIdle, 5 * platform.report),
+            net::Server::Limits{budget.max_callers, std::max(kIdleTimeout, 5 * platform.report),
                                 [](const std::string& path) { return path == app::kReportPath; }},
-            [&](const net::ExchangePtr& x) { controller->asked(x); });
+            [&](const net::ExchangePtr& exchange) { controller->handle_request(exchange); });
       },
-      kBindTimes, kBindPause);
+      kBindAttempts, kBindRetryDelay);
   std::random_device random;
   const std::uint64_t incarnation = (std::uint64_t{random()} << 32 | random()) | 1;  // not 0
   controller = std::make_unique<app::Controller>(
-      platform, ops, app::Controller::Needs{loop, http, workers, *peers, incarnation});
-  loop.every(kSocketsSaid, [&] {
+      platform, ops, app::Controller::Dependencies{loop, http, workers, *peers, incarnation});
+  loop.every(kSocketMetricsInterval, [&] {
     const auto& open = server->connections();
     spdlog::info("metrics: sockets: workers in {}, others in {} of {}, pushes out {} of {}, services out {}",
-                 open.machines(), open.open() - open.machines(), open.room(), workers.open(), budget.pushes,
-                 http.open());
+                 open.machines(), open.open() - open.machines(), open.room(), workers.open(),
+                 budget.max_pushes, http.open());
   });
   spdlog::info("{} listens on {}", platform.name, platform.listen.text());
   loop.run();
@@ -104,7 +106,7 @@
   try {
     platform = aspenwick::wire::parse_settings(read_file(config));
     aspenwick::share::check_time_to_cancel(platform);
-    if (!ops_path.empty()) ops = aspenwick::app::read_operator_settings(ops_path);
+    if (!ops_path.empty()) ops = aspenwick::app::load_operator_settings(ops_path);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
     return 2;
@@ -115,7 +117,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   try {
-    serve(platform, ops);
+    run_node(platform, ops);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
     return 1;
--- a/src/app/operator_settings.cpp
+++ b/src/app/operator_settings.cpp
@@ -13,17 +13,17 @@
 
 using Setter = std::function<void(const YAML::Node&)>;
 
-double number(const std::string& key, const YAML::Node& v, double least, double most) {
+double parse_number(const std::string& key, const YAML::Node& v, double min, double max) {
   double d = 0;
   try {
     d = v.as<double>();
   } catch (const YAML::Exception&) {
-    throw BadSettings("operator settings: not a number: " + key);
+    throw InvalidSettings("operator settings: not a number: " + key);
   }
-  if (!(d >= least && d <= most)) {
+  if (!(d >= min && d <= max)) {
     std::ostringstream range;
-    range << "operator settings: out of range: " << key << " (" << least << " to " << most << ")";
-    throw BadSettings(range.str());
+    range << "operator settings: out of range: " << key << " (" << min << " to " << max << ")";
+    throw InvalidSettings(range.str());
   }
   return d;
 }
@@ -31,63 +31,64 @@
 }  // namespace
 
 OperatorSettings parse_operator_settings(const std::string& yaml) {
-  OperatorSettings s;
-  std::map<std::string, Setter> known;
-  auto real = [&](const std::string& key, double& to, double least, double most) {
-    known[key] = [=, &to](const YAML::Node& v) { to = number(key, v, least, most); };
+  OperatorSettings settings;
+  std::map<std::string, Setter> setters;
+  auto add_number = [&](const std::string& key, double& to, double min, double max) {
+    setters[key] = [=, &to](const YAML::Node& v) { to = parse_number(key, v, min, max); };
   };
-  auto seconds = [&](const std::string& key, Micros& to, double least, double most) {
-    known[key] = [=, &to](const YAML::Node& v) { to = from_seconds(number(key, v, least, most)); };
+  auto add_seconds = [&](const std::string& key, Micros& to, double min, double max) {
+    setters[key] = [=, &to](const YAML::Node& v) { to = from_seconds(parse_number(key, v, min, max)); };
   };
-  real("learner.memory", s.rnn.memory, 0.01, 0.99);
-  real("learner.round_robin", s.rnn.round_robin, 0, 1);
-  known["learner.sweeps"] = [&s](const YAML::Node& v) {
-    s.rnn.sweeps = static_cast<int>(number("learner.sweeps", v, 1, 100));
+  add_number("learner.memory", settings.rnn.memory, 0.01, 0.99);
+  add_number("learner.round_robin", settings.rnn.round_robin, 0, 1);
+  setters["learner.sweeps"] = [&settings](const YAML::Node& v) {
+    settings.rnn.sweeps = static_cast<int>(parse_number("learner.sweeps", v, 1, 100));
   };
-  known["learner.goal"] = [&s](const YAML::Node& v) {
+  setters["learner.goal"] = [&settings](const YAML::Node& v) {
     const auto goal = v.IsScalar() ? v.Scalar() : "";
     if (goal != "relative" && goal != "seconds")
-      throw BadSettings("operator settings: out of range: learner.goal (relative or seconds)");
-    s.rnn.normalise = goal == "relative";
+      throw InvalidSettings("operator settings: out of range: learner.goal (relative or seconds)");
+    settings.rnn.normalise = goal == "relative";
   };
-  seconds("renting.idle_after_s", s.renting.idle_after, 0, 3600);
-  seconds("renting.idle_gpu_after_s", s.renting.idle_gpu_after, 0, 3600);
-  seconds("renting.idle_spot_gpu_after_s", s.renting.idle_spot_gpu_after, 0, 3600);
-  seconds("renting.lapsed_after_s", s.renting.lapsed_after, 0, 3600);
-  seconds("renting.refused_for_s", s.renting.refused_for, 1, 600);
-  real("renting.straggler_factor", s.renting.straggler_factor, 1, 20);
-  seconds("renting.straggler_extra_s", s.renting.straggler_extra, 0, 600);
-  seconds("renting.level_above_s", s.renting.level_above, 0, 3600);
-  seconds("renting.patience_s", s.renting.patience, 5, 3600);
-  seconds("machines.suspect_for_s", s.suspect_for, 0, 3600);
-  seconds("jobs.error_backoff_s", s.error_backoff, 0, 60);
+  add_seconds("renting.idle_after_s", settings.renting.idle_after, 0, 3600);
+  add_seconds("renting.idle_gpu_after_s", settings.renting.idle_gpu_after, 0, 3600);
+  add_seconds("renting.idle_spot_gpu_after_s", settings.renting.idle_spot_gpu_after, 0, 3600);
+  add_seconds("renting.lapsed_after_s", settings.renting.lapsed_after, 0, 3600);
+  add_seconds("renting.refused_for_s", settings.renting.refused_for, 1, 600);
+  add_number("renting.straggler_factor", settings.renting.straggler_factor, 1, 20);
+  add_seconds("renting.straggler_extra_s", settings.renting.straggler_extra, 0, 600);
+  add_seconds("renting.level_above_s", settings.renting.level_above, 0, 3600);
+  add_seconds("renting.patience_s", settings.renting.patience, 5, 3600);
+  add_seconds("machines.suspect_for_s", settings.suspect_for, 0, 3600);
+  add_seconds("jobs.error_backoff_s", settings.error_backoff, 0, 60);
 
   YAML::Node top;
   try {
     top = YAML::Load(yaml);
   } catch (const YAML::Exception& e) {
-    throw BadSettings(std::string("operator settings: not YAML: ") + e.what());
+    throw InvalidSettings(std::string("operator settings: not YAML: ") + e.what());
   }
-  if (top.IsNull()) return s;
-  if (!top.IsMap()) throw BadSettings("operator settings: not a map");
+  if (top.IsNull()) return settings;
+  if (!top.IsMap()) throw InvalidSettings("operator settings: not a map");
   for (const auto& section : top) {
     const auto name = section.first.as<std::string>();
-    const bool is_section = std::any_of(known.begin(), known.end(),
+    const bool is_section = std::any_of(setters.begin(), setters.end(),
                                         [&](const auto& k) { return k.first.starts_with(name + "."); });
-    if (!is_section || !section.second.IsMap()) throw BadSettings("operator settings: unknown key: " + name);
+    if (!is_section || !section.second.IsMap())
+      throw InvalidSettings("operator settings: unknown key: " + name);
     for (const auto& entry : section.second) {
       const auto key = name + "." + entry.first.as<std::string>();
-      auto it = known.find(key);
-      if (it == known.end()) throw BadSettings("operator settings: unknown key: " + key);
+      auto it = setters.find(key);
+      if (it == setters.end()) throw InvalidSettings("operator settings: unknown key: " + key);
       it->second(entry.second);
     }
   }
-  return s;
+  return settings;
 }
 
-OperatorSettings read_operator_settings(const std::string& path) {
+OperatorSettings load_operator_settings(const std::string& path) {
   std::ifstream in(path);
-  if (!in) throw BadSettings("operator settings: cannot read " + path);
+  if (!in) throw InvalidSettings("operator settings: cannot read " + path);
   std::ostringstream text;
   text << in.rdbuf();
   return parse_operator_settings(text.str());
--- a/src/app/operator_settings.h
+++ b/src/app/operator_settings.h
@@ -18,10 +18,10 @@
   std::uint64_t attempts_per_epoch = place::kAttemptsPerEpoch / 2;
 };
 
-struct BadSettings : std::runtime_error {
+struct InvalidSettings : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-OperatorSettings parse_operator_settings(const std::string& yaml);  // throws BadSettings naming the key
-OperatorSettings read_operator_settings(const std::string& path);
+OperatorSettings parse_operator_settings(const std::string& yaml);  // throws InvalidSettings naming the key
+OperatorSettings load_operator_settings(const std::string& path);
 
 }  // namespace aspenwick::app
--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -12,157 +12,163 @@
 using share::OwnerKey;
 
 namespace {
-constexpr Micros kRaiseAgain = kSecond;
-constexpr Micros kHandBackAgain = 500 * kMillisecond;
+constexpr Micros kRaiseRetryDelay = kSecond;
+constexpr Micros kHandBackRetryDelay = 500 * kMillisecond;
 }  // namespace
 
-void OwnedShares::own_lease() {
-  if (own_.lease() || lease_asked_) return;
-  lease_asked_ = true;
-  const Micros sent = needs_.loop.now();
-  needs_.store.grant(share::kOwnerLease, [this, sent](int code, std::uint64_t lease) {
-    lease_asked_ = false;
+void OwnedShares::request_lease() {
+  if (ownership_.lease() || lease_requested_) return;
+  lease_requested_ = true;
+  const Micros sent = deps_.loop.now();
+  deps_.store.grant(share::kOwnerLease, [this, sent](int code, std::uint64_t lease) {
+    lease_requested_ = false;
     if (code != 200) return;
-    own_.lease_granted(lease, sent);
-    renewed_ = sent;
+    ownership_.lease_granted(lease, sent);
+    last_renewal_ = sent;
     tick();
   });
 }
 
-void OwnedShares::renew() {
-  const Micros sent = needs_.loop.now();
-  if (!own_.lease() || sent - renewed_ < share::kRenewEvery) return;
-  renewed_ = sent;
-  const std::uint64_t lease = *own_.lease();
-  needs_.store.renew(lease, [this, sent, lease](int code) {
-    if (own_.lease() != lease) return;
+void OwnedShares::renew_lease() {
+  const Micros sent = deps_.loop.now();
+  if (!ownership_.lease() || sent - last_renewal_ < share::kRenewEvery) return;
+  last_renewal_ = sent;
+  const std::uint64_t lease = *ownership_.lease();
+  deps_.store.renew(lease, [this, sent, lease](int code) {
+    if (ownership_.lease() != lease) return;
     if (code == 200) {
-      own_.lease_renewed(sent);
+      ownership_.lease_renewed(sent);
     } else if (code == 404) {
       spdlog::info("our lease {} has ended", lease);
-      own_.lease_lost();
-      sync();
-      own_lease();
+      ownership_.lease_lost();
+      sync_controllers();
+      request_lease();
     } else {
-      renewed_ =
-          std::min(renewed_, needs_.loop.now() - share::kRenewEvery + 500 * kMillisecond);  // try again soon
+      last_renewal_ = std::min(last_renewal_,
+                               deps_.loop.now() - share::kRenewEvery + 500 * kMillisecond);  // try again soon
     }
   });
 }
 
-void OwnedShares::take_key(const std::string& key, const std::string& counter,
-                           std::function<void(int)> done) {
-  auto it = tokens_.find(counter);
-  const std::uint64_t seen = it == tokens_.end() ? 0 : it->second.second;
-  const OwnerKey mine{platform_.name, *own_.lease(), highest_epoch() + 1, 0};
+void OwnedShares::acquire_key(const std::string& key, const std::string& counter,
+                              std::function<void(int)> done) {
+  auto it = epoch_counters_.find(counter);
+  const std::uint64_t seen = it == epoch_counters_.end() ? 0 : it->second.second;
+  const OwnerKey mine{platform_.name, *ownership_.lease(), highest_epoch() + 1, 0};
   // With the leases, ahead of all else: while a share has no owner, its workers' leases run out.
-  needs_.store.commit(
+  deps_.store.commit(
       {{key, 0}, {counter, seen}},
       {{counter, {{"n", mine.epoch}}, {}, false}, {key, share::owner_to_json(mine), mine.lease, false}},
       store::Urgency::now, [done = std::move(done)](int code, std::uint64_t) { done(code); });
 }
 
-void OwnedShares::take_share(int s) {
-  if (!taking_.insert(s).second) return;
-  take_key(kOwner + std::to_string(s), kToken + std::to_string(s), [this, s](int code) {
-    if (code == 200) spdlog::info("share {}: taken", s);
-    // The watch tells.
-    needs_.loop.later(code == 200 ? kSecond : 150 * kMillisecond, [this, s] { taking_.erase(s); });
-  });
+void OwnedShares::acquire_share(int share) {
+  if (!acquiring_.insert(share).second) return;
+  acquire_key(kOwnerPrefix + std::to_string(share), kEpochCounterPrefix + std::to_string(share),
+              [this, share](int code) {
+                if (code == 200) spdlog::info("share {}: taken", share);
+                // The watch tells.
+                deps_.loop.later(code == 200 ? kSecond : 150 * kMillisecond,
+                                 [this, share] { acquiring_.erase(share); });
+              });
 }
 
-void OwnedShares::take_leader() {
-  if (taking_leader_) return;
-  taking_leader_ = true;
-  take_key(kLeader, kToken + "leader", [this](int code) {
-    needs_.loop.later(code == 200 ? kSecond : 200 * kMillisecond, [this] { taking_leader_ = false; });
+void OwnedShares::acquire_leadership() {
+  if (acquiring_leadership_) return;
+  acquiring_leadership_ = true;
+  acquire_key(kLeaderKey, kEpochCounterPrefix + "leader", [this](int code) {
+    deps_.loop.later(code == 200 ? kSecond : 200 * kMillisecond, [this] { acquiring_leadership_ = false; });
   });
 }
 
-void OwnedShares::hand_back(int s) {
-  auto it = owned_.find(s);
+void OwnedShares::hand_back(int share) {
+  auto it = owned_.find(share);
   if (it == owned_.end() || it->second.handing_back) return;
   it->second.handing_back = true;
-  spdlog::info("share {}: handed back to {}", s, own_.node_of(s));
-  remove_key(s, it->second.made, it->second.key_version, false);
+  spdlog::info("share {}: handed back to {}", share, ownership_.node_of(share));
+  remove_owner_key(share, it->second.generation, it->second.key_version, false);
 }
 
 /// Until the key is surely gone or surely not: meanwhile nothing is started and no report answered. A request
 /// that got lost left a share without anyone for as long as its owner lived. `unsure`: an earlier try may be
 /// executed yet; only a key that has changed since refuses it for good.
-void OwnedShares::remove_key(int s, std::uint64_t made, std::uint64_t version, bool unsure) {
-  OwnedShare* owned = find(s, made);
+void OwnedShares::remove_owner_key(int share, std::uint64_t generation, std::uint64_t version,
+                                   bool maybe_executed) {
+  OwnedShare* owned = find(share, generation);
   if (!owned) return;  // the watch told
   if (owned->key_version != version) {
     owned->handing_back = false;
     return;
   }
-  const std::string key = kOwner + std::to_string(s);
-  needs_.store.commit({{key, version}}, {{key, nullptr, {}, true}}, store::Urgency::user,
-                      [this, s, made, version, unsure](int code, std::uint64_t) {
-                        OwnedShare* h = find(s, made);
-                        if (!h || code == 200) return;
-                        if (code != 0 && code != 409 && !unsure) {
-                          h->handing_back = false;
-                          return;
-                        }
-                        needs_.loop.later(kHandBackAgain,
-                                          [this, s, made, version] { remove_key(s, made, version, true); });
-                      });
+  const std::string key = kOwnerPrefix + std::to_string(share);
+  deps_.store.commit({{key, version}}, {{key, nullptr, {}, true}}, store::Urgency::user,
+                     [this, share, generation, version, maybe_executed](int code, std::uint64_t) {
+                       OwnedShare* current = find(share, generation);
+                       if (!current || code == 200) return;
+                       if (code != 0 && code != 409 && !maybe_executed) {
+                         current->handing_back = false;
+                         return;
+                       }
+                       deps_.loop.later(kHandBackRetryDelay, [this, share, generation, version] {
+                         remove_owner_key(share, generation, version, true);
+                       });
+                     });
 }
 
 /// Before the numbers of an epoch are used up, the share's key gets a higher one in place: same lease, same
 /// owner, no takeover. Whether a try was executed is told by the key; a further try asks for the same epoch,
 /// and the guard lets one of them through.
-void OwnedShares::raise_epoch(int s, OwnedShare& owned) {
-  const Micros now = needs_.loop.now();
+void OwnedShares::raise_epoch(int share, OwnedShare& owned) {
+  const Micros now = deps_.loop.now();
   if (owned.controller->attempts() < settings_.attempts_per_epoch || owned.handing_back ||
-      !own_.lease_valid(now) || now - owned.raised < kRaiseAgain)
+      !ownership_.lease_valid(now) || now - owned.last_raise_attempt < kRaiseRetryDelay)
     return;
-  owned.raised = now;
-  if (owned.raising == 0) owned.raising = highest_epoch() + 1;
-  const std::string key = kOwner + std::to_string(s), counter = kToken + std::to_string(s);
-  const auto it = tokens_.find(counter);
-  const OwnerKey mine{platform_.name, *own_.lease(), owned.raising, 0};
-  needs_.store.commit(
-      {{key, owned.key_version}, {counter, it == tokens_.end() ? 0 : it->second.second}},
+  owned.last_raise_attempt = now;
+  if (owned.pending_epoch == 0) owned.pending_epoch = highest_epoch() + 1;
+  const std::string key = kOwnerPrefix + std::to_string(share),
+                    counter = kEpochCounterPrefix + std::to_string(share);
+  const auto it = epoch_counters_.find(counter);
+  const OwnerKey mine{platform_.name, *ownership_.lease(), owned.pending_epoch, 0};
+  deps_.store.commit(
+      {{key, owned.key_version}, {counter, it == epoch_counters_.end() ? 0 : it->second.second}},
       {{counter, {{"n", mine.epoch}}, {}, false}, {key, share::owner_to_json(mine), mine.lease, false}},
       store::Urgency::user,
-      [this, s, made = owned.made, mine = OwnerKey(mine)](int code, std::uint64_t revision) mutable {
-        if (code != 200 || !find(s, made)) return;
+      [this, share, generation = owned.generation, mine = OwnerKey(mine)](int code,
+                                                                          std::uint64_t revision) mutable {
+        if (code != 200 || !find(share, generation)) return;
         mine.version = revision;
-        if (!revisions_.take(kOwner + std::to_string(s), revision)) return;
-        own_.owner_set(s, mine, needs_.loop.now());
-        sync();
+        if (!row_revisions_.advance(kOwnerPrefix + std::to_string(share), revision)) return;
+        ownership_.owner_set(share, mine, deps_.loop.now());
+        sync_controllers();
       });
 }
 
 void OwnedShares::tick() {
   // Ours is asked for while the records are still read.
-  renew();
-  own_lease();
+  renew_lease();
+  request_lease();
   if (!records().synced()) return;
-  records_read();
-  keep_records_fresh();
-  if (own_.lease()) needs_.records.announce(*own_.lease());
-  for (const int s : own_.to_take(needs_.loop.now())) take_share(s);
-  if (own_.take_leader(needs_.loop.now())) take_leader();
-  if (auto s = own_.to_hand_back(needs_.loop.now())) hand_back(*s);
-  for (auto& [s, owned] : owned_) {
-    raise_epoch(s, owned);
-    say_whether_answered(s, owned);
+  on_records_refreshed();
+  refresh_stale_records();
+  if (ownership_.lease()) deps_.records.announce_formats(*ownership_.lease());
+  for (const int share : ownership_.to_take(deps_.loop.now())) acquire_share(share);
+  if (ownership_.take_leader(deps_.loop.now())) acquire_leadership();
+  if (auto share = ownership_.to_hand_back(deps_.loop.now())) hand_back(*share);
+  for (auto& [share, owned] : owned_) {
+    raise_epoch(share, owned);
+    log_renewal_change(share, owned);
   }
 }
 
 /// For operators, once each time it changes.
-void OwnedShares::say_whether_answered(int s, OwnedShare& owned) const {
-  auto why = own_.why_not_renewed(s, needs_.loop.now());
-  if (why.empty() == owned.not_answered.empty()) return;
+void OwnedShares::log_renewal_change(int share, OwnedShare& owned) const {
+  auto why = ownership_.why_not_renewed(share, deps_.loop.now());
+  if (why.empty() == owned.renewal_block.empty()) return;
   if (why.empty())
-    spdlog::info("share {}: workers are answered again", s);
+    spdlog::info("share {}: workers are answered again", share);
   else
-    spdlog::info("share {}: workers are not answered: {}", s, why);
-  owned.not_answered = std::move(why);
+    spdlog::info("share {}: workers are not answered: {}", share, why);
+  owned.renewal_block = std::move(why);
 }
 
 }  // namespace aspenwick::app
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -7,94 +7,94 @@
 using share::OwnerKey;
 
 namespace {
-constexpr Micros kToldFor = 2 * kSecond;
-constexpr Micros kHoldsFor = 1500 * kMillisecond;
-constexpr Micros kToldWithin = 1500 * kMillisecond;  // of a new leader's key
+constexpr Micros kReportedStateMaxAge = 2 * kSecond;
+constexpr Micros kReportedHolderMaxAge = 1500 * kMillisecond;
+constexpr Micros kNewLeaderWait = 1500 * kMillisecond;  // of a new leader's key
 }  // namespace
 
-share::PeerState PeerService::state_of_us() const {
-  const auto& own = needs_.owned_shares.ownership();
-  const Micros now = needs_.loop.now();
-  return {own.has_state(needs_.store.ok(now), now),
-          needs_.records.synced(),
-          own.lease().value_or(0),
+share::PeerState PeerService::own_state() const {
+  const auto& ownership = deps_.owned_shares.ownership();
+  const Micros now = deps_.loop.now();
+  return {ownership.has_state(deps_.store.ok(now), now),
+          deps_.records.synced(),
+          ownership.lease().value_or(0),
           now,
           false,
           0,
-          needs_.owned_shares.taken_epochs()};
+          deps_.owned_shares.acquired_epochs()};
 }
 
-void PeerService::gossip() {
-  const auto ours = state_of_us();
-  share::Gossip g;
-  g.node = platform_.name;
-  g.state_ok = ours.state_ok, g.synced = ours.synced, g.lease = ours.lease;
-  g.heartbeats = true;
-  share::Gossip brief = g;
+void PeerService::send_gossip() {
+  const auto ours = own_state();
+  share::Gossip full;
+  full.node = platform_.name;
+  full.state_ok = ours.state_ok, full.synced = ours.synced, full.lease = ours.lease;
+  full.heartbeats = true;
+  share::Gossip brief = full;
   brief.brief = true;
-  for (const auto& [s, owned] : needs_.owned_shares.all())
-    brief.shares.push_back({s, owned.controller->rebuilt(), {}, {}});
-  const std::string in_brief = share::encode(brief);
-  const OwnerKey* leader = needs_.owned_shares.ownership().leader();
-  std::vector<std::string> whole;
+  for (const auto& [share, owned] : deps_.owned_shares.all())
+    brief.shares.push_back({share, owned.controller->rebuilt(), {}, {}});
+  const std::string brief_frame = share::encode(brief);
+  const OwnerKey* leader = deps_.owned_shares.ownership().leader();
+  std::vector<std::string> full_frames;
   for (const auto& peer : platform_.siblings) {
     if (heartbeats_.reads(peer.name) && leader && leader->node != peer.name) {
-      needs_.peers.send_bytes(peer.name, in_brief);
+      deps_.peers.send_bytes(peer.name, brief_frame);
       continue;
     }
-    if (whole.empty()) {
-      g.shares = needs_.owned_shares.shares_to_tell();
-      whole = share::encode_gossip(g);
+    if (full_frames.empty()) {
+      full.shares = deps_.owned_shares.share_states();
+      full_frames = share::encode_gossip(full);
     }
-    for (const auto& frame : whole) needs_.peers.send_bytes(peer.name, frame);
+    for (const auto& frame : full_frames) deps_.peers.send_bytes(peer.name, frame);
   }
 }
 
-void PeerService::heartbeat(const std::string& peer) {
-  share::Heartbeat b = heartbeats_.to(peer, state_of_us(), needs_.loop.now());
-  b.read_to = needs_.records.read_to();
-  b.cancellations = cancellations_.highest();
-  b.had = cancellations_.had(peer, b.echo_incarnation);
-  needs_.peers.send(peer, b);
+void PeerService::send_heartbeat(const std::string& peer) {
+  share::Heartbeat heartbeat = heartbeats_.to(peer, own_state(), deps_.loop.now());
+  heartbeat.read_to = deps_.records.read_revision();
+  heartbeat.cancellations = cancellations_.highest();
+  heartbeat.had = cancellations_.had(peer, heartbeat.echo_incarnation);
+  deps_.peers.send(peer, heartbeat);
 }
 
-void PeerService::tell_cancellations(const std::string& peer) {
-  if (const auto tell = cancellations_.to(peer)) needs_.peers.send(peer, *tell);
+void PeerService::send_cancellations(const std::string& peer) {
+  if (const auto tell = cancellations_.to(peer)) deps_.peers.send(peer, *tell);
 }
 
-void PeerService::heartbeat() {
+void PeerService::send_heartbeats() {
   for (const auto& peer : platform_.siblings)
-    if (heartbeats_.reads(peer.name)) heartbeat(peer.name);
+    if (heartbeats_.reads(peer.name)) send_heartbeat(peer.name);
 }
 
-void PeerService::keys_seen() {
-  const OwnerKey* leader = needs_.owned_shares.ownership().leader();
+void PeerService::on_keys_changed() {
+  const OwnerKey* leader = deps_.owned_shares.ownership().leader();
   const std::uint64_t epoch = leader ? leader->epoch : 0;
   if (epoch == leader_epoch_) return;
   leader_epoch_ = epoch;
-  led_since_ = needs_.loop.now();
-  if (leader) gossip();
+  leader_since_ = deps_.loop.now();
+  if (leader) send_gossip();
 }
 
-void PeerService::cancellation_known(const std::string& job, std::uint64_t revision) {
+void PeerService::on_cancellation_known(const std::string& job, std::uint64_t revision) {
   const std::uint64_t number = cancellations_.learnt(job, revision);
-  confirmations_.learnt(job, revision, number, needs_.loop.now());
+  confirmations_.learnt(job, revision, number, deps_.loop.now());
 }
 
-bool PeerService::may_confirm(const std::string& job) {
+bool PeerService::may_confirm_cancellation(const std::string& job) {
   return confirmations_.settled(
-      job, cancellations_, [this, &job](std::uint64_t revision) { return other_owners(job, revision); },
-      needs_.loop.now());
+      job, cancellations_, [this, &job](std::uint64_t revision) { return possible_owners(job, revision); },
+      deps_.loop.now());
 }
 
 /// Who takes the share later reads every record up to its key, and so the cancellation. Whoever may have
 /// taken it before, unseen by us, has to have said that it knows.
-std::vector<std::string> PeerService::other_owners(const std::string& job, std::uint64_t revision) const {
-  const auto& own = needs_.owned_shares.ownership();
-  const auto* record = needs_.records.job(job);
-  const bool keys_known = revision != 0 && needs_.store.watched() >= revision;
+std::vector<std::string> PeerService::possible_owners(const std::string& job, std::uint64_t revision) const {
+  const auto& ownership = deps_.owned_shares.ownership();
+  const auto* record = deps_.records.job(job);
+  const bool keys_known = revision != 0 && deps_.store.watched() >= revision;
   if (keys_known && record && record->spec) {
-    const OwnerKey* key = own.owner(own.share_of_team(record->spec->team));
+    const OwnerKey* key = ownership.owner(ownership.share_of_team(record->spec->team));
     if (!key || key->node == platform_.name) return {};
     return {key->node};
   }
@@ -103,126 +103,130 @@
   return nodes;
 }
 
-void PeerService::cancelled(const std::string& job) {
+void PeerService::broadcast_cancellation(const std::string& job) {
   for (const auto& peer : platform_.siblings)
     if (heartbeats_.reads(peer.name))
-      tell_cancellations(peer.name);
+      send_cancellations(peer.name);
     else
-      needs_.peers.send(peer.name, share::PlainCancelTell{job});
+      deps_.peers.send(peer.name, share::PlainCancelTell{job});
 }
 
-bool PeerService::heard_all() const {
-  const Micros now = needs_.loop.now();
-  if (now - led_since_ > kToldWithin) return true;
-  const auto& own = needs_.owned_shares.ownership();
-  for (int s = 0; s < own.shares(); ++s) {
-    if (!own.owner(s) || needs_.owned_shares.find(s)) continue;
-    auto told = said_.find(s);
-    if (told == said_.end() || now - told->second.at > kToldFor) return false;
+bool PeerService::heard_from_all_share_states() const {
+  const Micros now = deps_.loop.now();
+  if (now - leader_since_ > kNewLeaderWait) return true;
+  const auto& ownership = deps_.owned_shares.ownership();
+  for (int index = 0; index < ownership.shares(); ++index) {
+    if (!ownership.owner(index) || deps_.owned_shares.find(index)) continue;
+    auto told = reported_states_.find(index);
+    if (told == reported_states_.end() || now - told->second.received > kReportedStateMaxAge) return false;
   }
   return true;
 }
 
-std::string PeerService::told_owner(int share) const {
-  auto it = holds_.find(share);
-  return it == holds_.end() || needs_.loop.now() - it->second.second > kHoldsFor ? "" : it->second.first;
+std::string PeerService::reported_owner(int share) const {
+  auto it = reported_holders_.find(share);
+  return it == reported_holders_.end() || deps_.loop.now() - it->second.second > kReportedHolderMaxAge
+             ? ""
+             : it->second.first;
 }
 
-std::vector<share::ShareSaid> PeerService::all_shares() const {
-  auto shares = needs_.owned_shares.shares_to_tell();
-  const Micros now = needs_.loop.now();
-  for (const auto& [share, told] : said_)
-    if (now - told.at <= kToldFor && !needs_.owned_shares.find(share)) shares.push_back(told.said);
+std::vector<share::ShareSaid> PeerService::all_share_states() const {
+  auto shares = deps_.owned_shares.share_states();
+  const Micros now = deps_.loop.now();
+  for (const auto& [share, told] : reported_states_)
+    if (now - told.received <= kReportedStateMaxAge && !deps_.owned_shares.find(share))
+      shares.push_back(told.state);
   return shares;
 }
 
-void PeerService::give(const fleet::Move& move) {
-  if (auto* owned = needs_.owned_shares.find(move.from)) {
+void PeerService::execute_move(const fleet::Move& move) {
+  if (auto* owned = deps_.owned_shares.find(move.from)) {
     if (move.drain)
-      owned->controller->drain(move.machine, move.to, move.rank, needs_.loop.now());
+      owned->controller->drain(move.machine, move.to, move.rank, deps_.loop.now());
     else
-      needs_.move_machine(move.machine, move.to);
-  } else if (const OwnerKey* key = needs_.owned_shares.ownership().owner(move.from)) {
-    needs_.peers.send(key->node, share::ReleaseAsk{move.machine, move.to, move.drain, move.rank});
+      deps_.move_machine(move.machine, move.to);
+  } else if (const OwnerKey* key = deps_.owned_shares.ownership().owner(move.from)) {
+    deps_.peers.send(key->node, share::ReleaseAsk{move.machine, move.to, move.drain, move.rank});
   }
 }
 
-void PeerService::heard(const share::Frame& frame, const share::Peers::Reply& reply) {
-  if (const auto* g = std::get_if<share::Gossip>(&frame))
-    heard(*g);
-  else if (const auto* a = std::get_if<share::ReleaseAsk>(&frame))
-    heard(*a);
-  else if (const auto* q = std::get_if<share::StatusAsk>(&frame))
-    heard(*q, reply);
-  else if (const auto* t = std::get_if<share::StatusTell>(&frame))
-    needs_.status_told(*t);
-  else if (const auto* w = std::get_if<share::PlainCancelTell>(&frame))
-    heard(*w);
-  else if (const auto* c = std::get_if<share::CancelTell>(&frame))
-    heard(*c);
-  else if (const auto* b = std::get_if<share::Heartbeat>(&frame))
-    heard(*b);
-}
-
-void PeerService::heard(const share::Heartbeat& b) {
-  auto heard = heartbeats_.heard(b, needs_.loop.now());
-  if (heard.state) {
+void PeerService::handle_frame(const share::Frame& frame, const share::Peers::Reply& reply) {
+  if (const auto* gossip = std::get_if<share::Gossip>(&frame))
+    handle(*gossip);
+  else if (const auto* ask = std::get_if<share::ReleaseAsk>(&frame))
+    handle(*ask);
+  else if (const auto* status_ask = std::get_if<share::StatusAsk>(&frame))
+    handle(*status_ask, reply);
+  else if (const auto* status_tell = std::get_if<share::StatusTell>(&frame))
+    deps_.status_received(*status_tell);
+  else if (const auto* plain_tell = std::get_if<share::PlainCancelTell>(&frame))
+    handle(*plain_tell);
+  else if (const auto* cancel_tell = std::get_if<share::CancelTell>(&frame))
+    handle(*cancel_tell);
+  else if (const auto* heartbeat = std::get_if<share::Heartbeat>(&frame))
+    handle(*heartbeat);
+}
+
+void PeerService::handle(const share::Heartbeat& heartbeat) {
+  auto outcome = heartbeats_.heard(heartbeat, deps_.loop.now());
+  if (outcome.state) {
     // Repeated with each of its heartbeats, so that nothing piles up for a peer that can't be reached.
-    cancellations_.peer_has(b.node, b.read_to, b.had);
-    tell_cancellations(b.node);
-    heard.state->knows_all = cancellations_.had(b.node, b.incarnation) >= b.cancellations;
-    needs_.owned_shares.ownership().peer_reported(b.node, *heard.state);
+    cancellations_.peer_has(heartbeat.node, heartbeat.read_to, heartbeat.had);
+    send_cancellations(heartbeat.node);
+    outcome.state->knows_all =
+        cancellations_.had(heartbeat.node, heartbeat.incarnation) >= heartbeat.cancellations;
+    deps_.owned_shares.ownership().peer_reported(heartbeat.node, *outcome.state);
   }
-  if (heard.answer) heartbeat(b.node);
+  if (outcome.answer) send_heartbeat(heartbeat.node);
 }
 
-void PeerService::heard(const share::Gossip& g) {
-  const Micros now = needs_.loop.now();
-  auto& own = needs_.owned_shares.ownership();
-  if (heartbeats_.take_gossip(g, now))
-    own.peer_reported(g.node, {g.state_ok, g.synced, g.lease, now, false, 0, {}});
-  for (const auto& s : g.shares) holds_[s.share] = {g.node, now};
-  if (g.brief) return;
+void PeerService::handle(const share::Gossip& gossip) {
+  const Micros now = deps_.loop.now();
+  auto& ownership = deps_.owned_shares.ownership();
+  if (heartbeats_.take_gossip(gossip, now))
+    ownership.peer_reported(gossip.node, {gossip.state_ok, gossip.synced, gossip.lease, now, false, 0, {}});
+  for (const auto& state : gossip.shares) reported_holders_[state.share] = {gossip.node, now};
+  if (gossip.brief) return;
   // Share by share: a node with thousands of machines tells them in several frames.
-  std::erase_if(said_, [&](const auto& s) {
-    const OwnerKey* key = own.owner(s.first);
-    return s.second.node == g.node && key && key->node != g.node;
+  std::erase_if(reported_states_, [&](const auto& entry) {
+    const OwnerKey* key = ownership.owner(entry.first);
+    return entry.second.node == gossip.node && key && key->node != gossip.node;
   });
-  for (const auto& s : g.shares) said_[s.share] = {g.node, now, s};
+  for (const auto& state : gossip.shares) reported_states_[state.share] = {gossip.node, now, state};
 }
 
-void PeerService::heard(const share::ReleaseAsk& a) {
-  const auto* m = needs_.records.machine(a.machine);
-  auto* owned = m ? needs_.owned_shares.find(m->share) : nullptr;
-  if (!owned || a.to_share >= needs_.owned_shares.ownership().shares()) return;
-  if (a.drain)
-    owned->controller->drain(a.machine, a.to_share, a.rank, needs_.loop.now());
+void PeerService::handle(const share::ReleaseAsk& ask) {
+  const auto* machine = deps_.records.machine(ask.machine);
+  auto* owned = machine ? deps_.owned_shares.find(machine->share) : nullptr;
+  if (!owned || ask.to_share >= deps_.owned_shares.ownership().shares()) return;
+  if (ask.drain)
+    owned->controller->drain(ask.machine, ask.to_share, ask.rank, deps_.loop.now());
   else
-    needs_.move_machine(a.machine, a.to_share);
+    deps_.move_machine(ask.machine, ask.to_share);
 }
 
-void PeerService::heard(const share::StatusAsk& q, const share::Peers::Reply& reply) {
-  share::StatusTell t;
-  t.request = q.request;
-  for (const auto& [s, owned] : needs_.owned_shares.all())
-    if (auto tally = owned.controller->tally(q.job))
-      t.known = true, t.done = tally->first, t.running = tally->second;
-  reply(t);
+void PeerService::handle(const share::StatusAsk& ask, const share::Peers::Reply& reply) {
+  share::StatusTell tell;
+  tell.request = ask.request;
+  for (const auto& [share, owned] : deps_.owned_shares.all())
+    if (auto tally = owned.controller->tally(ask.job))
+      tell.known = true, tell.done = tally->first, tell.running = tally->second;
+  reply(tell);
 }
 
-void PeerService::heard(const share::PlainCancelTell& w) {
+void PeerService::handle(const share::PlainCancelTell& tell) {
   // Of no known revision: the record that says it is still to come.
-  needs_.records.cancelled_elsewhere(w.job, 0);
-  needs_.records.follow_graph();
-  needs_.poke();
+  deps_.records.apply_peer_cancellation(tell.job, 0);
+  deps_.records.publish_graph_changes();
+  deps_.schedule_tick();
 }
 
-void PeerService::heard(const share::CancelTell& c) {
-  for (const auto& j : c.jobs) needs_.records.cancelled_elsewhere(j.id, j.revision);
-  needs_.records.follow_graph();
-  cancellations_.heard(c);
-  needs_.poke();
-  heartbeat(c.node);  // says that we know them: a user waits for it
+void PeerService::handle(const share::CancelTell& tell) {
+  for (const auto& job : tell.jobs) deps_.records.apply_peer_cancellation(job.id, job.revision);
+  deps_.records.publish_graph_changes();
+  cancellations_.heard(tell);
+  deps_.schedule_tick();
+  send_heartbeat(tell.node);  // says that we know them: a user waits for it
 }
 
 }  // namespace aspenwick::app
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -11,14 +11,14 @@
 using wire::JobStatus;
 
 namespace {
-constexpr int kReads = 3;  // formats: 3 has rows of units, specs in parts, types in rows
-constexpr std::size_t kForgetAtOnce = 4;
-constexpr Micros kGatherAsking = 15 * kMillisecond;
+constexpr int kFormatVersion = 3;  // formats: 3 has rows of units, specs in parts, types in rows
+constexpr std::size_t kMaxDeletesPerCommit = 4;
+constexpr Micros kRefreshBatchDelay = 15 * kMillisecond;
 }  // namespace
 
-Records::Records(const wire::PlatformSettings& platform, Needs needs)
+Records::Records(const wire::PlatformSettings& platform, Dependencies dependencies)
     : platform_(platform),
-      needs_(std::move(needs)),
+      deps_(std::move(dependencies)),
       graph_([this](const std::string& id) { return job(id); }) {}
 
 const job::JobRecord* Records::job(const std::string& id) const {
@@ -26,10 +26,10 @@
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-const job::JobRecord* Records::entry(const std::string& id) const {
+const job::JobRecord* Records::job_or_unreadable(const std::string& id) const {
   static const job::JobRecord unreadable;
   const auto* known = job(id);
-  return known || !unreadable_.contains(id) ? known : &unreadable;
+  return known || !unreadable_jobs_.contains(id) ? known : &unreadable;
 }
 
 const share::MachineRecord* Records::machine(const std::string& id) const {
@@ -37,43 +37,43 @@
   return it == machines_.end() ? nullptr : &it->second;
 }
 
-bool Records::all_read_units() const {
+bool Records::all_nodes_read_units() const {
   return std::all_of(platform_.siblings.begin(), platform_.siblings.end(),
-                     [&](const auto& n) { return readers_.contains(n.name); });
+                     [&](const auto& n) { return format_rows_.contains(n.name); });
 }
 
 bool Records::apply(const wire::Row& row) {
   const std::string& key = row.key;
-  if (!key.starts_with(kJob) && !key.starts_with(kPart) && !key.starts_with(kNode) &&
-      !key.starts_with(kMachine) && !key.starts_with(kTypes))
+  if (!key.starts_with(kJobPrefix) && !key.starts_with(kPartPrefix) && !key.starts_with(kNodePrefix) &&
+      !key.starts_with(kMachinePrefix) && !key.starts_with(kTypesKey))
     return false;
   try {
-    read(row);
+    read_row(row);
   } catch (const std::exception& e) {
     spdlog::error("state service: {}: {}", key, e.what());
-    if (key.starts_with(kJob)) unreadable_.insert(key.substr(kJob.size()));
+    if (key.starts_with(kJobPrefix)) unreadable_jobs_.insert(key.substr(kJobPrefix.size()));
   }
   return true;
 }
 
-void Records::read(const wire::Row& row) {
+void Records::read_row(const wire::Row& row) {
   const std::string& key = row.key;
-  if (key.starts_with(kJob)) {
-    const std::string id = key.substr(kJob.size());
+  if (key.starts_with(kJobPrefix)) {
+    const std::string id = key.substr(kJobPrefix.size());
     if (row.removed) return;
-    set_job(id, job::record_from_json(row.value, row.version));
-    unreadable_.erase(id);
-  } else if (key.starts_with(kPart)) {
+    update_job(id, job::record_from_json(row.value, row.version));
+    unreadable_jobs_.erase(id);
+  } else if (key.starts_with(kPartPrefix)) {
     read_part(row);
-  } else if (key.starts_with(kNode)) {
-    const std::string node = key.substr(kNode.size());
+  } else if (key.starts_with(kNodePrefix)) {
+    const std::string node = key.substr(kNodePrefix.size());
     if (row.removed)
-      readers_.erase(node);
+      format_rows_.erase(node);
     else
-      readers_[node] = {row.value.at("lease").get<std::uint64_t>(), row.version};
-  } else if (key.starts_with(kMachine)) {
-    const std::string id = key.substr(kMachine.size());
-    machines_changed_.insert(id);
+      format_rows_[node] = {row.value.at("lease").get<std::uint64_t>(), row.version};
+  } else if (key.starts_with(kMachinePrefix)) {
+    const std::string id = key.substr(kMachinePrefix.size());
+    changed_machines_.insert(id);
     const auto* known = machine(id);
     if (row.removed) {
       if (known && known->version <= row.version) machines_.erase(id);
@@ -86,34 +86,34 @@
   }
 }
 
-std::vector<std::string> Records::missing(const std::set<std::string>& seen, std::uint64_t as_of) const {
+std::vector<std::string> Records::missing_keys(const std::set<std::string>& seen, std::uint64_t as_of) const {
   std::vector<std::string> out;
   for (const auto& [id, m] : machines_)
-    if (m.version <= as_of && !seen.contains(kMachine + id)) out.push_back(kMachine + id);
+    if (m.version <= as_of && !seen.contains(kMachinePrefix + id)) out.push_back(kMachinePrefix + id);
   return out;
 }
 
 void Records::add_machine(const share::MachineRecord& machine) {
   if (!machines_.emplace(machine.id, machine).second) return;
-  machines_changed_.insert(machine.id);
+  changed_machines_.insert(machine.id);
 }
 
-void Records::cancelled_elsewhere(const std::string& id, std::uint64_t revision) {
+void Records::apply_peer_cancellation(const std::string& id, std::uint64_t revision) {
   const auto* known = job(id);
   if (!known) {
     // The watch may bring the record alone, and an outage keep its cancellation from us: we said that we had
     // it.
-    cancelled_early_[id] = revision;
+    early_cancellations_[id] = revision;
     return;
   }
   if (known->final()) return;
   job::JobRecord record = *known;
   record.status = JobStatus::cancelled;
   record.version = std::max(record.version, revision);
-  set_job(id, std::move(record));
+  update_job(id, std::move(record));
 }
 
-void Records::set_job(const std::string& id, job::JobRecord record) {
+void Records::update_job(const std::string& id, job::JobRecord record) {
   if (const auto* known = job(id)) {
     if (known->final() && record.status != known->status) return;
     const bool adds_spec = known->version == record.version && !known->spec && record.spec;
@@ -123,28 +123,28 @@
       record.version = known->version;
     }
   }
-  take_job(id, std::move(record));
-  if (const auto early = cancelled_early_.extract(id)) cancelled_elsewhere(id, early.mapped());
+  store_job(id, std::move(record));
+  if (const auto early = early_cancellations_.extract(id)) apply_peer_cancellation(id, early.mapped());
 }
 
-void Records::take_job(const std::string& id, job::JobRecord record) {
+void Records::store_job(const std::string& id, job::JobRecord record) {
   job::JobRecord& kept = jobs_[id];
   const bool news = record.status == JobStatus::cancelled &&
                     (kept.status != JobStatus::cancelled || kept.version < record.version);
   // Told by a peer that doesn't know the revision, it goes by the one that the open record had.
   const bool of_known_revision = record.version > kept.version;
-  if (news) needs_.cancelled(id, of_known_revision ? record.version : 0);
+  if (news) deps_.job_cancelled(id, of_known_revision ? record.version : 0);
   // A record in parts is whole once they are all here; one written before keeps its spec.
   if (!record.spec && kept.spec && record.status != JobStatus::done) record.spec = kept.spec;
   kept = std::move(record);
   if (kept.final()) parts_.erase(id);
-  if (!kept.final() && !kept.spec) return assemble(id);
+  if (!kept.final() && !kept.spec) return assemble_spec(id);
   graph_.update(id, kept);
-  needs_.job_seen(id, kept);
+  deps_.job_updated(id, kept);
 }
 
 void Records::read_part(const wire::Row& row) {
-  const std::string name = row.key.substr(kPart.size());
+  const std::string name = row.key.substr(kPartPrefix.size());
   const auto tag = name.find('/'), n = name.rfind('/');
   if (tag == std::string::npos || n == tag) return;
   const std::string id = name.substr(0, tag);
@@ -155,10 +155,10 @@
   if (auto it = jobs_.find(id); it != jobs_.end() && (it->second.final() || it->second.spec)) return;
   parts_[id][name.substr(tag + 1, n - tag - 1)][static_cast<std::uint32_t>(std::stoul(name.substr(n + 1)))] =
       row.value.get<std::string>();
-  assemble(id);
+  assemble_spec(id);
 }
 
-void Records::assemble(const std::string& id) {
+void Records::assemble_spec(const std::string& id) {
   auto j = jobs_.find(id);
   if (j == jobs_.end() || j->second.final() || j->second.spec || j->second.parts == 0) return;
   const auto& parts = parts_[id][j->second.parts_tag];
@@ -168,7 +168,7 @@
   j->second.spec = job::spec_from_parts(texts);
   parts_.erase(id);
   graph_.update(id, j->second);
-  needs_.job_seen(id, j->second);
+  deps_.job_updated(id, j->second);
 }
 
 /// Rows that a final job has left: nothing reads them any more, so these deletes need no guard.
@@ -176,20 +176,20 @@
   std::vector<wire::Write> writes;
   for (std::size_t i = 0; i < keys.size(); ++i) {
     writes.push_back({std::move(keys[i]), nullptr, {}, true});
-    if (writes.size() < needs_.store.txn_ops() && i + 1 < keys.size()) continue;
-    needs_.store.commit({}, std::exchange(writes, {}), store::Urgency::background, [](int, std::uint64_t) {});
+    if (writes.size() < deps_.store.txn_ops() && i + 1 < keys.size()) continue;
+    deps_.store.commit({}, std::exchange(writes, {}), store::Urgency::background, [](int, std::uint64_t) {});
   }
 }
 
 /// The parts of a job that is over say nothing any more. If this fails they only lie there.
-void Records::drop_parts(const std::string& id, const job::JobRecord& record) {
+void Records::delete_parts(const std::string& id, const job::JobRecord& record) {
   std::vector<std::string> keys;
   for (std::uint32_t n = 0; n < record.parts; ++n)
-    keys.push_back(kPart + id + "/" + record.parts_tag + "/" + std::to_string(n));
+    keys.push_back(kPartPrefix + id + "/" + record.parts_tag + "/" + std::to_string(n));
   delete_keys(std::move(keys));
 }
 
-void Records::follow_graph() {
+void Records::publish_graph_changes() {
   for (const auto& id : graph_.take_changed()) {
     auto it = jobs_.find(id);
     if (it == jobs_.end() || it->second.final()) continue;
@@ -197,94 +197,96 @@
       const auto c = graph_.course(id, it->second);
       spdlog::debug("stage {} ({}) {} {:.1f} s ago, rank {}, to finish in {:.1f} s", id,
                     it->second.spec->job_class, graph_.ready(id) ? "open since" : "waits, accepted",
-                    to_seconds(needs_.loop.time_of_day() - c.ready), static_cast<int>(c.rank),
-                    c.finish_by ? to_seconds(*c.finish_by - needs_.loop.time_of_day()) : 0.0);
+                    to_seconds(deps_.loop.time_of_day() - c.ready), static_cast<int>(c.rank),
+                    c.finish_by ? to_seconds(*c.finish_by - deps_.loop.time_of_day()) : 0.0);
     }
-    needs_.job_seen(id, it->second);
+    deps_.job_updated(id, it->second);
   }
 }
 
-void Records::fresh_jobs(std::function<void(bool)> then) {
-  want_fresh_.push_back(std::move(then));
-  if (freshening_) return;
-  freshening_ = true;
+void Records::refresh_jobs(std::function<void(bool)> then) {
+  refresh_callbacks_.push_back(std::move(then));
+  if (refreshing_) return;
+  refreshing_ = true;
   // Those who ask within a moment share a read; at most so many reads a second, however many ask.
-  needs_.loop.later(kGatherAsking, [this] { read_fresh(); });
+  deps_.loop.later(kRefreshBatchDelay, [this] { send_refresh(); });
 }
 
-void Records::read_fresh() {
-  auto asked = std::make_shared<std::vector<std::function<void(bool)>>>(std::exchange(want_fresh_, {}));
-  const std::uint64_t since = std::max(fresh_to_, needs_.store.watched());
-  const Micros sent = needs_.loop.now();
-  needs_.store.changes(
-      kJob, since, [this, asked, sent](bool ok, const std::vector<wire::Row>& rows, std::uint64_t revision) {
+void Records::send_refresh() {
+  auto asked =
+      std::make_shared<std::vector<std::function<void(bool)>>>(std::exchange(refresh_callbacks_, {}));
+  const std::uint64_t since = std::max(refreshed_revision_, deps_.store.watched());
+  const Micros sent = deps_.loop.now();
+  deps_.store.changes(
+      kJobPrefix, since,
+      [this, asked, sent](bool ok, const std::vector<wire::Row>& rows, std::uint64_t revision) {
         if (ok) {
           for (const auto& r : rows) apply(r);
-          fresh_to_ = std::max(fresh_to_, revision);
-          fresh_as_of_ = sent;
-          follow_graph();
+          refreshed_revision_ = std::max(refreshed_revision_, revision);
+          refreshed_as_of_ = sent;
+          publish_graph_changes();
         } else {
-          fresh_to_ = 0;  // perhaps too old
+          refreshed_revision_ = 0;  // perhaps too old
         }
         for (const auto& f : *asked) f(ok);
-        freshening_ = !want_fresh_.empty();
-        if (freshening_) needs_.loop.later(kGatherAsking, [this] { read_fresh(); });
+        refreshing_ = !refresh_callbacks_.empty();
+        if (refreshing_) deps_.loop.later(kRefreshBatchDelay, [this] { send_refresh(); });
       });
 }
 
 /// A row on our lease that says which formats we read. The first version wrote none, so a node without one
 /// gets only what that version reads.
-void Records::announce(std::uint64_t lease) {
-  auto it = readers_.find(platform_.name);
-  if (announcing_ || (it != readers_.end() && it->second.first == lease)) return;
+void Records::announce_formats(std::uint64_t lease) {
+  auto it = format_rows_.find(platform_.name);
+  if (announcing_ || (it != format_rows_.end() && it->second.first == lease)) return;
   announcing_ = true;
-  needs_.store.commit({{kNode + platform_.name, it == readers_.end() ? 0 : it->second.second}},
-                      {{kNode + platform_.name, {{"lease", lease}, {"reads", kReads}}, lease, false}},
-                      store::Urgency::background, [this](int, std::uint64_t) {
-                        needs_.loop.later(kSecond, [this] { announcing_ = false; });
-                      });
+  deps_.store.commit(
+      {{kNodePrefix + platform_.name, it == format_rows_.end() ? 0 : it->second.second}},
+      {{kNodePrefix + platform_.name, {{"lease", lease}, {"reads", kFormatVersion}}, lease, false}},
+      store::Urgency::background,
+      [this](int, std::uint64_t) { deps_.loop.later(kSecond, [this] { announcing_ = false; }); });
 }
 
 /// Machine types that one value doesn't hold are spread over several; indices mean the same to all nodes, so
 /// none are known until all are.
 void Records::read_types(const wire::Row& row) {
   if (!types_.empty()) return;
-  if (row.key == kTypes) {
+  if (row.key == kTypesKey) {
     types_ = wire::types_from_json(row.value);
     return;
   }
-  type_parts_[std::stoul(row.key.substr(kTypes.size() + 1))] = wire::types_from_json(row.value);
-  if (type_parts_.size() < row.value.at("rows").get<std::size_t>()) return;
-  for (const auto& [n, types] : type_parts_) types_.insert(types_.end(), types.begin(), types.end());
+  partial_types_[std::stoul(row.key.substr(kTypesKey.size() + 1))] = wire::types_from_json(row.value);
+  if (partial_types_.size() < row.value.at("rows").get<std::size_t>()) return;
+  for (const auto& [n, types] : partial_types_) types_.insert(types_.end(), types.begin(), types.end());
 }
 
 void Records::write_types(const std::vector<wire::MachineType>& types) {
   const auto rows = job::types_rows(types, platform_.value_room());
   if (rows.size() == 1)
-    return needs_.store.commit({{kTypes, 0}}, {{kTypes, rows[0], {}, false}}, store::Urgency::user,
-                               [](int, std::uint64_t) {});
+    return deps_.store.commit({{kTypesKey, 0}}, {{kTypesKey, rows[0], {}, false}}, store::Urgency::user,
+                              [](int, std::uint64_t) {});
   for (std::size_t n = 0; n < rows.size(); ++n) {
-    const std::string key = kTypes + "/" + std::to_string(n);
-    needs_.store.commit({{key, 0}}, {{key, rows[n], {}, false}}, store::Urgency::user,
-                        [](int, std::uint64_t) {});
+    const std::string key = kTypesKey + "/" + std::to_string(n);
+    deps_.store.commit({{key, 0}}, {{key, rows[n], {}, false}}, store::Urgency::user,
+                       [](int, std::uint64_t) {});
   }
 }
 
-void Records::forget_machines(const std::vector<std::string>& ids) {
+void Records::delete_machines(const std::vector<std::string>& ids) {
   std::vector<wire::Guard> guards;
   std::vector<wire::Write> writes;
   auto flush = [&] {
     if (!writes.empty())
-      needs_.store.commit(std::move(guards), std::move(writes), store::Urgency::background,
-                          [](int, std::uint64_t) {});
+      deps_.store.commit(std::move(guards), std::move(writes), store::Urgency::background,
+                         [](int, std::uint64_t) {});
     guards.clear(), writes.clear();
   };
   for (const auto& id : ids) {
     auto it = machines_.find(id);
     if (it == machines_.end()) continue;
-    guards.push_back({kMachine + id, it->second.version});
-    writes.push_back({kMachine + id, nullptr, {}, true});
-    if (writes.size() >= std::min(kForgetAtOnce, needs_.store.txn_ops())) flush();
+    guards.push_back({kMachinePrefix + id, it->second.version});
+    writes.push_back({kMachinePrefix + id, nullptr, {}, true});
+    if (writes.size() >= std::min(kMaxDeletesPerCommit, deps_.store.txn_ops())) flush();
   }
   flush();
 }
--- a/src/app/result_writer.h
+++ b/src/app/result_writer.h
@@ -16,15 +16,15 @@
 
 class ResultWriter {
  public:
-  struct Needs {
+  struct Dependencies {
     net::Loop& loop;
     store::Client& store;
     Records& records;
     OwnedShares& owned_shares;
-    std::function<void()> poke;
+    std::function<void()> schedule_tick;
   };
-  ResultWriter(const wire::PlatformSettings& platform, Needs needs)
-      : platform_(platform), needs_(std::move(needs)) {}
+  ResultWriter(const wire::PlatformSettings& platform, Dependencies dependencies)
+      : platform_(platform), deps_(std::move(dependencies)) {}
 
   /// After each pass of the owners.
   void tick();
@@ -33,26 +33,27 @@
   void move_machine(const std::string& machine, int to);
 
  private:
-  void finish_jobs();
-  void finished(int share, std::uint64_t made, const std::string& id);
-  void cancel_doomed();
-  bool cancel_doomed(int share, const OwnedShares::OwnedShare& owned);
-  void write_done();
-  void commit_move(share::MachineRecord to_be, int from, std::uint64_t made, std::uint64_t key_version,
-                   bool unsure);
-  void stay_unless_moved(share::MachineRecord machine, int from, std::uint64_t made);
-  void stay(const std::string& machine, int from);
-  void read_chunks_of_others();
-  void wrote_done(int share, std::uint64_t made, const share::ShareController::DoneWrite& write);
+  void commit_finished_jobs();
+  void commit_finished_job(int share, std::uint64_t generation, const std::string& id);
+  void cancel_dependents();
+  bool cancel_dependents(int share, const OwnedShares::OwnedShare& owned);
+  void write_progress();
+  void commit_move(share::MachineRecord to_be, int from, std::uint64_t generation, std::uint64_t key_version,
+                   bool maybe_executed);
+  void keep_unless_moved(share::MachineRecord machine, int from, std::uint64_t generation);
+  void keep_machine(const std::string& machine, int from);
+  void read_foreign_chunks();
+  void reread_progress_version(int share, std::uint64_t generation,
+                               const share::ShareController::DoneWrite& write);
 
   const wire::PlatformSettings& platform_;
-  Needs needs_;
+  Dependencies deps_;
   bool cancelling_ = false;
   std::size_t cancel_batch_ = 8;
   std::set<std::string> moving_;
-  Micros last_done_ = 0, last_move_ = 0, last_read_of_others_ = 0;
-  std::pair<std::string, std::uint32_t> last_chunk_of_others_;  // read, of a job of another share
-  double progress_level_ = 0, move_level_ = 0;
+  Micros last_progress_write_ = 0, last_move_ = 0, last_foreign_read_ = 0;
+  std::pair<std::string, std::uint32_t> last_foreign_chunk_;  // read, of a job of another share
+  double progress_budget_ = 0, move_budget_ = 0;
 };
 
 }  // namespace aspenwick::app
--- a/src/app/row_revisions.h
+++ b/src/app/row_revisions.h
@@ -10,7 +10,7 @@
 class RowRevisions {
  public:
   /// A row or a removal of this revision was told of the key. false: a later one was told before.
-  bool take(const std::string& key, std::uint64_t revision) {
+  bool advance(const std::string& key, std::uint64_t revision) {
     std::uint64_t& newest = newest_[key];
     if (revision < newest) return false;
     newest = revision;
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -13,124 +13,129 @@
 using wire::WorkerReport;
 
 namespace {
-constexpr Micros kPushDeadline = 3 * kSecond;
+constexpr Micros kPushTimeout = 3 * kSecond;
 }
 
-void WorkerApi::report(const ExchangePtr& x) {
-  ++reports_;
-  WorkerReport r;
+void WorkerApi::handle_report(const ExchangePtr& exchange) {
+  ++report_count_;
+  WorkerReport report;
   try {
-    r = wire::parse_report(x->body());
+    report = wire::parse_report(exchange->body());
   } catch (const std::exception& e) {
-    return x->answer(400, wire::error_body(e.what()));
+    return exchange->answer(400, wire::error_body(e.what()));
   }
-  answer(x, r, true);
+  answer_report(exchange, report, true);
 }
 
-void WorkerApi::answer(const ExchangePtr& x, const WorkerReport& r, bool may_adopt) {
-  if (!needs_.records.synced()) return x->answer(503, wire::error_body("starting"));
-  const auto& own = needs_.owned_shares.ownership();
-  const auto* machine = needs_.records.machine(r.machine);
+void WorkerApi::answer_report(const ExchangePtr& exchange, const WorkerReport& report, bool may_register) {
+  if (!deps_.records.synced()) return exchange->answer(503, wire::error_body("starting"));
+  const auto& ownership = deps_.owned_shares.ownership();
+  const auto* machine = deps_.records.machine(report.machine);
   if (!machine) {
-    if (needs_.owned_shares.leading() && may_adopt) return adopt(x, r);
-    const OwnerKey* leader = own.leader();
-    if (leader && leader->node != platform_.name) return x->answer(421, wire::redirect_body(leader->node));
-    return x->answer(503, wire::error_body("no leader"));
+    if (deps_.owned_shares.is_leader() && may_register) return register_machine(exchange, report);
+    const OwnerKey* leader = ownership.leader();
+    if (leader && leader->node != platform_.name)
+      return exchange->answer(421, wire::redirect_body(leader->node));
+    return exchange->answer(503, wire::error_body("no leader"));
   }
   const int share = machine->share;
-  const OwnerKey* key = own.owner(share);
-  if (share < 0 || !key) return refuse(x, share, "", "no owner");
-  if (!own.ours(key)) return refuse(x, share, key->node, "not yet");
-  OwnedShares::OwnedShare* owned = needs_.owned_shares.find(share);
-  if (!owned || owned->handing_back) return x->answer(503, wire::error_body("not yet"));
-  const Micros now = needs_.loop.now();
-  if (!own.may_renew_workers(share, now)) return refuse(x, share, "", "no right to act");
-  const auto told = owned->controller->on_report(r, now, needs_.owned_shares.refusal(*owned));
-  if (!told) return x->answer(503, wire::error_body("no right to act"));
-  x->answer(200, wire::report_answer(told->token, told->orders));
-  needs_.poke();
+  const OwnerKey* key = ownership.owner(share);
+  if (share < 0 || !key) return refuse_or_redirect(exchange, share, "", "no owner");
+  if (!ownership.ours(key)) return refuse_or_redirect(exchange, share, key->node, "not yet");
+  OwnedShares::OwnedShare* owned = deps_.owned_shares.find(share);
+  if (!owned || owned->handing_back) return exchange->answer(503, wire::error_body("not yet"));
+  const Micros now = deps_.loop.now();
+  if (!ownership.may_renew_workers(share, now))
+    return refuse_or_redirect(exchange, share, "", "no right to act");
+  const auto reply = owned->controller->on_report(report, now, deps_.owned_shares.start_refusal(*owned));
+  if (!reply) return exchange->answer(503, wire::error_body("no right to act"));
+  exchange->answer(200, wire::report_answer(reply->token, reply->orders));
+  deps_.schedule_tick();
 }
 
 /// Names the owner if that is surely known. The keys tell it while our view of them can't be old; else only
 /// a peer's own word does. Two nodes that the state service refuses sent workers to each other, by keys long
 /// gone, until their leases ran out, while a third held their share.
-void WorkerApi::refuse(const ExchangePtr& x, int share, const std::string& by_keys, const char* why) const {
-  const auto& own = needs_.owned_shares.ownership();
-  std::string owner = own.keys_current(needs_.loop.now()) ? by_keys : needs_.told_owner(share);
+void WorkerApi::refuse_or_redirect(const ExchangePtr& exchange, int share, const std::string& key_owner,
+                                   const char* reason) const {
+  const auto& ownership = deps_.owned_shares.ownership();
+  std::string owner = ownership.keys_current(deps_.loop.now()) ? key_owner : deps_.reported_owner(share);
   if (owner == platform_.name) owner.clear();
-  if (owner.empty()) return x->answer(503, wire::error_body(why));
-  x->answer(421, wire::redirect_body(owner));
+  if (owner.empty()) return exchange->answer(503, wire::error_body(reason));
+  exchange->answer(421, wire::redirect_body(owner));
 }
 
-void WorkerApi::adopt(const ExchangePtr& x, const WorkerReport& r) {
-  if (!adopting_.insert(r.machine).second) return x->answer(503, wire::error_body("being adopted"));
+void WorkerApi::register_machine(const ExchangePtr& exchange, const WorkerReport& report) {
+  if (!registering_.insert(report.machine).second)
+    return exchange->answer(503, wire::error_body("being adopted"));
   share::MachineRecord m;
-  m.id = r.machine;
-  m.address = r.address;
-  m.type = r.type;
-  m.zone = r.zone;
-  m.spot = r.spot;
-  m.share = needs_.share_for(r);
+  m.id = report.machine;
+  m.address = report.address;
+  m.type = report.type;
+  m.zone = report.zone;
+  m.spot = report.spot;
+  m.share = deps_.share_for(report);
   // If it has obeyed someone, only a newer epoch can give it orders.
-  if (r.token > 0)
-    m.epoch = std::max(needs_.owned_shares.highest_epoch(), share::epoch_of_token(r.token)) + 1;
-  needs_.store.commit({{kMachine + m.id, 0}, {kLeader, needs_.owned_shares.ownership().leader()->version}},
-                      {{kMachine + m.id, share::machine_to_json(m), {}, false}}, store::Urgency::user,
-                      [this, x, r, m](int code, std::uint64_t revision) mutable {
-                        adopting_.erase(r.machine);
-                        if (code != 200) return x->answer(503, wire::error_body("state service"));
-                        needs_.adopted(r.machine);
-                        spdlog::info("machine {} ({}, {}{}) joins share {}", m.id, m.type, m.zone,
-                                     m.spot ? ", spot" : "", m.share);
-                        if (!needs_.records.machine(m.id)) {
-                          m.version = revision;
-                          needs_.records.add_machine(m);
-                          needs_.owned_shares.sync();
-                        }
-                        answer(x, r, false);
-                      });
+  if (report.token > 0)
+    m.epoch = std::max(deps_.owned_shares.highest_epoch(), share::epoch_of_token(report.token)) + 1;
+  deps_.store.commit(
+      {{kMachinePrefix + m.id, 0}, {kLeaderKey, deps_.owned_shares.ownership().leader()->version}},
+      {{kMachinePrefix + m.id, share::machine_to_json(m), {}, false}}, store::Urgency::user,
+      [this, exchange, report, m](int code, std::uint64_t revision) mutable {
+        registering_.erase(report.machine);
+        if (code != 200) return exchange->answer(503, wire::error_body("state service"));
+        deps_.machine_registered(report.machine);
+        spdlog::info("machine {} ({}, {}{}) joins share {}", m.id, m.type, m.zone, m.spot ? ", spot" : "",
+                     m.share);
+        if (!deps_.records.machine(m.id)) {
+          m.version = revision;
+          deps_.records.add_machine(m);
+          deps_.owned_shares.sync_controllers();
+        }
+        answer_report(exchange, report, false);
+      });
 }
 
 void WorkerApi::push_orders() {
-  for (auto& [share, owned] : needs_.owned_shares.all()) {
-    if (!needs_.owned_shares.owns(owned)) continue;
-    if (pushing_ >= most_pushes_) return;  // each takes a socket; reports carry orders too
-    for (const auto& p : owned.controller->pushes(needs_.loop.now(), most_pushes_ - pushing_,
-                                                  needs_.owned_shares.refusal(owned)))
-      push(share, owned.made, p);
+  for (auto& [share, owned] : deps_.owned_shares.all()) {
+    if (!deps_.owned_shares.may_commit(owned)) continue;
+    if (pushes_in_flight_ >= max_pushes_) return;  // each takes a socket; reports carry orders too
+    for (const auto& p : owned.controller->pushes(deps_.loop.now(), max_pushes_ - pushes_in_flight_,
+                                                  deps_.owned_shares.start_refusal(owned)))
+      push(share, owned.generation, p);
   }
 }
 
-void WorkerApi::push(int share, std::uint64_t made, const share::ShareController::Push& p) {
+void WorkerApi::push(int share, std::uint64_t generation, const share::ShareController::Push& batch) {
   wire::Endpoint to;
   try {
-    to = wire::parse_endpoint(p.address);
+    to = wire::parse_endpoint(batch.address);
   } catch (const wire::Malformed&) {
     return;
   }
-  ++pushing_;
-  needs_.workers.request(net::Method::post, to, "/do", wire::direct_orders(p.token, p.session, p.orders),
-                         kPushDeadline,
-                         [this, share, made, machine = p.machine](int code, const std::string& body) {
-                           pushed(share, made, machine, code, body);
-                         });
+  ++pushes_in_flight_;
+  deps_.workers.request(
+      net::Method::post, to, "/do", wire::direct_orders(batch.token, batch.session, batch.orders),
+      kPushTimeout, [this, share, generation, machine = batch.machine](int code, const std::string& body) {
+        on_push_done(share, generation, machine, code, body);
+      });
 }
 
-void WorkerApi::pushed(int share, std::uint64_t made, const std::string& machine, int code,
-                       const std::string& body) {
-  --pushing_;
-  OwnedShares::OwnedShare* owned = needs_.owned_shares.find(share, made);
+void WorkerApi::on_push_done(int share, std::uint64_t generation, const std::string& machine, int code,
+                             const std::string& body) {
+  --pushes_in_flight_;
+  OwnedShares::OwnedShare* owned = deps_.owned_shares.find(share, generation);
   if (!owned) return;
-  WorkerReport r;
+  WorkerReport parsed;
   const WorkerReport* report = nullptr;
   if (code == 200 || code == 409) try {
-      r = wire::parse_report(body);
-      report = &r;
+      parsed = wire::parse_report(body);
+      report = &parsed;
     } catch (const std::exception& e) {
       spdlog::error("worker {}: {}", machine, e.what());
     }
-  owned->controller->pushed(machine, report ? code : 0, report, needs_.loop.now());
-  needs_.poke();
+  owned->controller->pushed(machine, report ? code : 0, report, deps_.loop.now());
+  deps_.schedule_tick();
 }
 
 }  // namespace aspenwick::app
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -9,7 +9,7 @@
 
 #include <thread>
 
-#include "app/sockets.h"
+#include "app/socket_budget.h"
 #include "fixtures.h"
 #include "loopback.h"
 #include "net/connections.h"
@@ -46,9 +46,9 @@
   for (const int sockets : {150, 500, 1200, 1854, 4302, 100'000}) {
     p.sockets = sockets;
     const auto b = app::socket_budget(p);
-    EXPECT_GE(b.pushes, 1U);
-    EXPECT_LE(b.pushes + b.callers + b.spare + 2 * app::SocketBudget::kToAService +
-                  app::SocketBudget::kFromPeers + p.siblings.size(),
+    EXPECT_GE(b.max_pushes, 1U);
+    EXPECT_LE(b.max_pushes + b.max_callers + b.reserved + 2 * app::SocketBudget::kMaxServiceConnections +
+                  app::SocketBudget::kMaxPeerConnections + p.siblings.size(),
               static_cast<std::size_t>(sockets));
   }
 }
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -53,7 +53,7 @@
   }
   void lead(std::uint64_t epoch) {
     now += kSecond / 2;
-    leader.lead(epoch);
+    leader.run(epoch);
   }
 };
 
@@ -78,7 +78,7 @@
   for (auto& c : cloud.take("/rentals"))
     if (c.path == "/rentals") rents.push_back(std::move(c));
   ASSERT_FALSE(rents.empty());
-  leader.rest();
+  leader.step_down();
   rents[0].done(200, R"({"rigs":["i-000001"]})");  // too late: the next leader finds it in the list
   for (int i = 0; i < 6; ++i) lead(2);
   std::set<std::string> bodies;
--- a/tests/records_rows_test.cpp
+++ b/tests/records_rows_test.cpp
@@ -38,10 +38,10 @@
   records.add_machine(machine("i-1", 10));
   records.add_machine(machine("i-2", 12));
   shares.apply(owner_row(3, 12));
-  EXPECT_EQ(records.missing({}, 11), std::vector<std::string>{"s/machine/i-1"});
-  EXPECT_EQ(records.missing({}, 12).size(), 2U);
-  EXPECT_TRUE(shares.missing({}, 11, false).empty());
-  EXPECT_EQ(shares.missing({}, 12, false), std::vector<std::string>{"s/holder/1"});
+  EXPECT_EQ(records.missing_keys({}, 11), std::vector<std::string>{"s/machine/i-1"});
+  EXPECT_EQ(records.missing_keys({}, 12).size(), 2U);
+  EXPECT_TRUE(shares.missing_keys({}, 11, false).empty());
+  EXPECT_EQ(shares.missing_keys({}, 12, false), std::vector<std::string>{"s/holder/1"});
 }
 
 // Our own raised epoch is known by its commit's answer, ahead of the watch; pages of a list may be older than
--- a/tests/requests_test.cpp
+++ b/tests/requests_test.cpp
@@ -227,11 +227,11 @@
       app::Records records(platform, {loop, client, [](const std::string&, const job::JobRecord&) {},
                                       [](const std::string&, std::uint64_t) {}});
       for (const auto e : events) {
-        if (e == first) records.set_job("j-1", queued);
-        if (e == parts) records.set_job("j-1", in_parts);
-        if (e == last) records.set_job("j-1", over);
-        if (e == told) records.cancelled_elsewhere("j-1", 12);
-        if (e == told_plainly) records.cancelled_elsewhere("j-1", 0);
+        if (e == first) records.update_job("j-1", queued);
+        if (e == parts) records.update_job("j-1", in_parts);
+        if (e == last) records.update_job("j-1", over);
+        if (e == told) records.apply_peer_cancellation("j-1", 12);
+        if (e == told_plainly) records.apply_peer_cancellation("j-1", 0);
         const auto* known = records.job("j-1");
         if (was_over) {
           EXPECT_EQ(known->status, end);
@@ -261,10 +261,10 @@
   job::JobRecord record;
   record.spec = std::make_shared<const wire::JobSpec>(wire::job_from_json(job("j-1", 1)));
   record.version = 10;
-  records.set_job("j-1", record);
-  records.cancelled_elsewhere("j-1", 0);
+  records.update_job("j-1", record);
+  records.apply_peer_cancellation("j-1", 0);
   record.status = wire::JobStatus::cancelled, record.version = 12;
-  records.set_job("j-1", record);
+  records.update_job("j-1", record);
   EXPECT_EQ(revisions, (std::vector<std::uint64_t>{0, 12}));
 }
 
--- a/tests/result_writer_test.cpp
+++ b/tests/result_writer_test.cpp
@@ -40,11 +40,11 @@
     for (const auto& type : job::types_rows(machine_types(), platform.value_room()))
       records.apply({"s/types", type, 2, false});
     records.apply({"s/machine/i-1", machine(0), 3, false});
-    records.in_step();
+    records.mark_synced();
     shares.ownership().lease_granted(kLease, engine.now);
     shares.apply({"s/token/0", {{"n", 5}}, 4, false});
     shares.apply({"s/holder/0", share::owner_to_json({"a", kLease, 5, 4}), 4, false});
-    shares.sync();
+    shares.sync_controllers();
     http.take("/kv?under=p/0/").done(200, R"({"rows":[],"hasNext":false,"ledgerRev":4})");
     wire::WorkerReport report;
     report.machine = "i-1", report.address = "127.0.0.1:9", report.type = "cpu8", report.zone = "z1";
@@ -68,7 +68,7 @@
     return false;
   }
   void move_while_the_epoch_is_raised() {
-    records.fresh_jobs([](bool) {});  // what an owner acts on is to be fresh
+    records.refresh_jobs([](bool) {});  // what an owner acts on is to be fresh
     engine.run_for(100 * kMillisecond);
     http.take("/changes?under=s/job/").done(200, R"({"news":[],"ledgerRev":9})");
     ASSERT_TRUE(used());
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -83,7 +83,7 @@
   EXPECT_EQ(s.renting.idle_after, 3 * kSecond);
   for (const char* bad : {"learner: {memory: 2}", "learner: {memorry: 0.5}", "lerner: {}",
                           "learner: {memory: x}", "learner: {goal: fast}", "learner: [", "- 1"})
-    EXPECT_THROW(app::parse_operator_settings(bad), app::BadSettings) << bad;
+    EXPECT_THROW(app::parse_operator_settings(bad), app::InvalidSettings) << bad;
 }
 
 }  // namespace
--- a/tests/small_world.cpp
+++ b/tests/small_world.cpp
@@ -112,7 +112,7 @@
   Node(SmallWorld& world, const std::string& name)
       : platform(settings_of(name, world.value_kb_)), loop(world.engine), wire(world, name, loop) {
     controller = std::make_unique<app::Controller>(
-        platform, world.settings_, app::Controller::Needs{loop, wire, wire, wire, ++world.processes_});
+        platform, world.settings_, app::Controller::Dependencies{loop, wire, wire, wire, ++world.processes_});
   }
   static wire::PlatformSettings settings_of(const std::string& name, double value_kb) {
     auto j = settings_json();
@@ -139,10 +139,11 @@
     return true;
   }
   to->second->loop.later(kTrip, [this, node, bytes, to = to->second.get()] {
-    to->controller->heard(share::decode(bytes), [this, node](const share::Frame& f) {
+    to->controller->handle_frame(share::decode(bytes), [this, node](const share::Frame& f) {
       if (cut(node)) return;
-      loop_.later(kTrip,
-                  [this, f] { world_.nodes_.at(node_)->controller->heard(f, [](const share::Frame&) {}); });
+      loop_.later(kTrip, [this, f] {
+        world_.nodes_.at(node_)->controller->handle_frame(f, [](const share::Frame&) {});
+      });
     });
   });
   return true;
@@ -153,7 +154,7 @@
   for (const auto& [node, bytes] : std::exchange(held_frames_, {}))
     if (auto to = nodes_.find(node); to != nodes_.end())
       to->second->loop.later(kTrip, [bytes, n = to->second.get()] {
-        n->controller->heard(share::decode(bytes), [](const share::Frame&) {});
+        n->controller->handle_frame(share::decode(bytes), [](const share::Frame&) {});
       });
 }
 
@@ -193,7 +194,7 @@
       for (const auto& [name, node] : nodes_) {
         auto post = std::make_shared<Post>(net::Method::post, "/hello", text, [](int, const std::string&) {});
         node->loop.later(kTrip + static_cast<Micros>(random() % 4) * 30 * kMillisecond,
-                         [to = node.get(), post] { to->controller->asked(post); });
+                         [to = node.get(), post] { to->controller->handle_request(post); });
       }
   };
   check_waits();
@@ -298,7 +299,7 @@
                                        told({status, Json::parse(text, nullptr, false)});
                                      });
   Node* to = nodes_.at(node).get();
-  to->loop.later(kTrip, [to, post] { to->controller->asked(post); });
+  to->loop.later(kTrip, [to, post] { to->controller->handle_request(post); });
 }
 
 Answer SmallWorld::ask(const std::string& node, net::Method method, const std::string& path,
@@ -434,7 +435,7 @@
   };
   auto send = [this](Node* to, const std::string& text, std::function<void(int, const std::string&)> done) {
     auto post = std::make_shared<Post>(net::Method::post, "/hello", text, std::move(done));
-    to->loop.later(std::max(kTrip, report_takes), [to, post] { to->controller->asked(post); });
+    to->loop.later(std::max(kTrip, report_takes), [to, post] { to->controller->handle_request(post); });
   };
   send(nodes_.at(w.node).get(), body.dump(), answered);
   if (by_chance(report_kept)) kept_reports_.push_back(body.dump());
