--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -13,14 +13,14 @@
 namespace {
 constexpr Micros kPeerAnswerTimeout = 300 * kMillisecond;
 constexpr Micros kConfirmPollInterval = 10 * kMillisecond;
-constexpr int kMaxLookups = 32;                       // of needed jobs that we don't know, for one submission
-constexpr std::size_t kMaxCachedTaskCounts = 4096;    // kept of what owners told last
-constexpr int kMaxCancelTries = 3;                    // against changes made elsewhere meanwhile
-constexpr std::size_t kMaxTransactionBytes = 40'000;  // of the 64 KiB that a transaction may take
+constexpr int kMaxLookups = 32;  // of needed jobs that are not known here, for one submission
+constexpr std::size_t kMaxCachedTaskCounts = 4096;  // entries; all are dropped when the cache is full
+constexpr int kMaxCancelTries = 3;                  // attempts when the record is changed elsewhere meanwhile
+constexpr std::size_t kMaxTransactionBytes = 40'000;  // of parts; a transaction may take 64 KiB in all
 }  // namespace
 
 void JobApi::answer_retry(const ExchangePtr& exchange, const std::string& reason) {
-  spdlog::debug("user told to come again: {}", reason);
+  spdlog::debug("client asked to retry: {}", reason);
   exchange->answer(503, wire::error_body(reason), 1);
 }
 
@@ -39,7 +39,7 @@
   if (it == pending_status_.end()) return;
   const PendingStatus wait = std::move(it->second);
   pending_status_.erase(it);
-  // An owner that doesn't know the job yet (a share changes hands) has nothing to say of it.
+  // While a share changes hands, its new owner may not know the job yet and has nothing to report of it.
   if (tell.known) cache_task_counts(wait.job, {tell.done, tell.running});
   answer_with_status(wait.exchange, 200, wait.job);
 }
@@ -49,8 +49,8 @@
   task_counts_[id] = counts;
 }
 
-/// Each answer that says how a job stands ends here: with the newest that this node knows at the moment at
-/// which it is given, however long what it waited for has taken.
+/// Every answer with the status of a job ends here, and gives the newest state that this node knows when it
+/// is sent, however long the request has waited.
 void JobApi::answer_with_status(const ExchangePtr& exchange, int code, const std::string& id) {
   if (answer_if_final(exchange, id)) return;
   const auto it = task_counts_.find(id);
@@ -59,15 +59,17 @@
                                            code == 201 ? std::nullopt : std::optional(counts)));
 }
 
-/// true: it is over, and its user is told so now or soon.
+/// If the job is final, answers with that, now or soon, and returns true.
 bool JobApi::answer_if_final(const ExchangePtr& exchange, const std::string& id) {
   const auto* known = deps_.records.job(id);
-  // Told from the graph as soon as the cancellation above it is known; its own record follows.
+  // A job that needs a cancelled job is reported as cancelled as soon as that cancellation is known here; its
+  // own record follows.
   const bool doomed = deps_.records.graph().doomed(id);
   if (!doomed && !(known && known->final())) return false;
   task_counts_.erase(id);
   const JobStatus status = known && known->final() ? known->status : JobStatus::cancelled;
-  // What needs a cancelled job never had tasks. Of any other the owner may start tasks until it knows.
+  // A job that needs a cancelled job never had tasks. The owner of any other cancelled job may still start
+  // tasks of it until it knows of the cancellation.
   if (status == JobStatus::cancelled && !doomed && !deps_.may_confirm_cancellation(id))
     confirm_cancellation(exchange, id, deps_.loop.now() + kPeerAnswerTimeout);
   else
@@ -75,20 +77,20 @@
   return true;
 }
 
-/// Waits for the owner's word, as long as for any peer's; a user who comes again may find that it came, or
-/// that the owner's time to act has passed.
+/// Waits until the owner knows of the cancellation or cannot act on old records any more, for as long as for
+/// any answer of a peer; then the client is asked to retry.
 void JobApi::confirm_cancellation(const ExchangePtr& exchange, const std::string& id, Micros until) {
   if (deps_.may_confirm_cancellation(id))
     return exchange->answer(200, wire::status_body(id, JobStatus::cancelled));
   if (deps_.loop.now() >= until)
-    return answer_retry(exchange, "the owner of its share may not know the cancellation yet");
+    return answer_retry(exchange, "the owner of the job's share may not know of the cancellation yet");
   deps_.loop.later(kConfirmPollInterval,
                    [this, exchange, id, until] { confirm_cancellation(exchange, id, until); });
 }
 
-/// No submission is refused for good before the state service has said that its id isn't there: it may be a
-/// retry of what another node accepted a moment ago, or a former version, or this one while the limits and
-/// the list of machine types were others. That gets the job's state.
+/// No submission is rejected for good before the state service has confirmed that its id does not exist. It
+/// may be a retry of a job that another node accepted a moment ago, or that a former version accepted, or
+/// this version under other limits or another list of machine types. Such a retry gets the state of the job.
 void JobApi::reject(const ExchangePtr& exchange, int code, const std::string& id, const std::string& reason) {
   if (!wire::valid_job_id(id)) return exchange->answer(code, wire::error_body(reason));
   if (!deps_.records.synced()) return answer_retry(exchange, "starting");
@@ -96,7 +98,8 @@
   deps_.store.get(kJobPrefix + id, store::Urgency::accept,
                   [this, exchange, code, id, reason](int lookup_status, const wire::Row&) {
                     if (lookup_status == 200) return report_status(exchange, id);
-                    if (lookup_status != 404) return answer_retry(exchange, "state service");
+                    if (lookup_status != 404)
+                      return answer_retry(exchange, "the state service is not available");
                     exchange->answer(code, wire::error_body(reason));
                   });
 }
@@ -118,17 +121,18 @@
   if (deps_.records.types().empty()) return answer_retry(exchange, "machine types not known yet");
   if (const auto reason = job::never_runs(spec, deps_.records.types(), platform_.teams); !reason.empty())
     return reject(exchange, 422, spec.id, reason);
-  if (deps_.store.crowded()) return exchange->answer(429, wire::error_body("over budget"), 2);
+  if (deps_.store.crowded())
+    return exchange->answer(429, wire::error_body("too many requests are waiting for the state service"), 2);
   job::keep_known_types(spec, deps_.records.types());
   submission->record.spec = std::make_shared<const wire::JobSpec>(std::move(spec));
   submission->record.submitted = deps_.loop.time_of_day();
   check_needed_jobs(submission);
 }
 
-/// Each needed job must have been accepted. What we don't know may have been accepted elsewhere just now:
-/// only the state service's word counts.
+/// Each needed job must have been accepted. A job that is not known here may just have been accepted by
+/// another node, so only the answer of the state service counts.
 void JobApi::check_needed_jobs(const std::shared_ptr<Submission>& submission) {
-  static const std::string kNeedsServiceError = "a service that it needs can never be done";
+  static const std::string kNeedsServiceError = "a job cannot need a service, which is never done";
   const auto& needs = submission->record.spec->needs;
   for (; submission->next_needed_job < needs.size(); ++submission->next_needed_job) {
     const std::string& id = needs[submission->next_needed_job];
@@ -143,15 +147,15 @@
         kJobPrefix + id, store::Urgency::accept, [this, submission, id](int code, const wire::Row& row) {
           if (code == 404)
             return reject(submission->exchange, 422, submission->record.spec->id,
-                          "it needs " + id + ", which was never accepted");
-          if (code != 200) return answer_retry(submission->exchange, "state service");
+                          "needs job " + id + ", which was never accepted");
+          if (code != 200) return answer_retry(submission->exchange, "the state service is not available");
           try {
             const auto needed = job::record_from_json(row.value, row.version);
             if (needed.spec && needed.spec->shape == wire::Shape::service)
               return reject(submission->exchange, 422, submission->record.spec->id, kNeedsServiceError);
           } catch (const std::exception& e) {
-            spdlog::error("job record {}: {}", id, e.what());
-            return answer_retry(submission->exchange, "state service");
+            spdlog::error("cannot read job record {}: {}", id, e.what());
+            return answer_retry(submission->exchange, "the job record cannot be read");
           }
           ++submission->next_needed_job;
           check_needed_jobs(submission);
@@ -162,9 +166,9 @@
 }
 
 void JobApi::accept(const std::shared_ptr<Submission>& submission) {
-  // The tag is new for each try: parts of a try that failed are never taken for this one's.
-  // Nor those of our former process: the time of day may step back between the two, a late deletion of parts
-  // of one of its tries may still be executed.
+  // Each attempt has a new tag, so that parts of a failed attempt are never taken for parts of this one. The
+  // incarnation keeps tags of a former process of this node apart: the time of day may have stepped back
+  // since, and a late deletion of parts of one of its attempts may still be executed.
   submission->tag = platform_.name + "-" + std::to_string(incarnation_) + "-" + std::to_string(++last_tag_);
   submission->rows = job::rows_of(submission->record, platform_.value_room(), submission->tag);
   submission->record.parts = static_cast<std::uint32_t>(submission->rows.parts.size());
@@ -172,7 +176,8 @@
   write_record(submission);
 }
 
-/// The parts first, in as many transactions as they take; the job is accepted with the record.
+/// Writes the parts first, in as many transactions as they need. The job is accepted with the commit of its
+/// record.
 void JobApi::write_record(const std::shared_ptr<Submission>& submission) {
   const std::string id = submission->record.spec->id;
   std::vector<wire::Guard> guards;
@@ -201,31 +206,32 @@
                          deps_.records.update_job(id, submission->record);
                          deps_.records.publish_graph_changes();
                          deps_.schedule_tick();
-                         // The answer may have come late: by now others may have told its user that it is
-                         // over.
+                         // The answer of the state service may have been late: other nodes may have told the
+                         // user meanwhile that the job is over.
                          return answer_with_status(submission->exchange, 201, id);
                        }
-                       // Without an answer the record may be there, and needs its parts. So it may when it
-                       // is there already: this may be the answer to a copy of our own request.
+                       // Without an answer the record may exist and need its parts. The same holds on a
+                       // conflict of the record: this may be the answer to a duplicate of our own request.
                        if (code != 0 && !(code == 409 && last))
                          deps_.records.delete_parts(id, submission->record);
                        if (code == 409 && last) return handle_duplicate(submission);
-                       answer_retry(submission->exchange, "state service");
+                       answer_retry(submission->exchange, "the job could not be recorded");
                      });
 }
 
-/// By another try, whose parts it has, or by this very one: only then are ours of use.
+/// The record exists already: written by another attempt, which has its own parts, or by this one. Only in
+/// the latter case are the parts of this attempt needed.
 void JobApi::handle_duplicate(const std::shared_ptr<Submission>& submission) {
   const std::string id = submission->record.spec->id;
   if (submission->record.parts > 0)
     deps_.store.get(kJobPrefix + id, store::Urgency::background,
                     [this, submission, id](int code, const wire::Row& row) {
-                      if (code != 200) return;  // they only lie there
+                      if (code != 200) return;  // unused parts only take up space
                       try {
                         if (job::record_from_json(row.value, row.version).parts_tag != submission->tag)
                           deps_.records.delete_parts(id, submission->record);
                       } catch (const std::exception& e) {
-                        spdlog::error("job record {}: {}", id, e.what());
+                        spdlog::error("cannot read job record {}: {}", id, e.what());
                       }
                     });
   report_status(submission->exchange, id);
@@ -234,26 +240,29 @@
 void JobApi::report_status(const ExchangePtr& exchange, const std::string& id) {
   if (answer_if_final(exchange, id)) return;
   if (!deps_.records.synced()) return answer_retry(exchange, "starting");
-  // What is not final may have become so elsewhere: only a fresh read may say that it has not. Of all records
-  // at once, shared by all who ask meanwhile: a read for each poll took more than a node's part of the
-  // requests where one node had all users, and they waited longer than they wait. A job that needs others may
-  // be cancelled by a record far above it in any case.
+  // A job that is not final here may have become so elsewhere, which only a fresh read can rule out. The read
+  // covers all records at once and is shared by all requests that arrive meanwhile: with a read for each
+  // poll, a node that served all users used more than its part of the request rate, and the users waited
+  // longer than they do now. A job that needs others may in any case be cancelled by a record far above it.
   deps_.records.refresh_jobs([this, exchange, id](bool ok) {
-    if (!ok) return answer_retry(exchange, "state service");
+    if (!ok) return answer_retry(exchange, "the state service is not available");
     const auto* known = deps_.records.job(id);
     if (!known) return look_up_job(exchange, id);
     if (answer_if_final(exchange, id)) return;
-    if (!known->spec || !deps_.records.graph().whole(id)) return answer_retry(exchange, "still being read");
+    if (!known->spec || !deps_.records.graph().whole(id))
+      return answer_retry(exchange, "the job record is not completely read yet");
     if (!deps_.records.graph().ready(id)) return answer_with_status(exchange, 200, id);
     answer_with_task_counts(exchange, id);
   });
 }
 
-/// Only the state service's own word makes a 404: a record that we could not read is there all the same.
+/// Answers 404 only if the state service says that there is no such job: a record that could not be read does
+/// exist.
 void JobApi::look_up_job(const ExchangePtr& exchange, const std::string& id) {
   deps_.store.get(kJobPrefix + id, store::Urgency::read, [this, exchange, id](int code, const wire::Row&) {
     if (code == 404) return exchange->answer(404, wire::error_body("no such job"));
-    answer_retry(exchange, code == 200 ? "still being read" : "state service");
+    answer_retry(exchange, code == 200 ? "the job record is not completely read yet"
+                                       : "the state service is not available");
   });
 }
 
@@ -272,7 +281,7 @@
         if (pending == pending_status_.end()) return;
         const PendingStatus wait = std::move(pending->second);
         pending_status_.erase(pending);
-        answer_with_status(wait.exchange, 200, wait.job);  // with what was told last
+        answer_with_status(wait.exchange, 200, wait.job);  // with the last known counts
       });
       return;
     }
@@ -282,45 +291,52 @@
 
 void JobApi::cancel(const ExchangePtr& exchange, const std::string& id, int tries) {
   if (answer_if_final(exchange, id)) return;
-  if (!deps_.records.synced() || tries == 0) return answer_retry(exchange, "state service");
+  if (!deps_.records.synced() || tries == 0)
+    return answer_retry(exchange, "the job record cannot be changed now");
   deps_.store.get(kJobPrefix + id, store::Urgency::accept,
                   [this, exchange, id, tries](int code, const wire::Row& row) {
                     if (code == 404) return exchange->answer(404, wire::error_body("no such job"));
-                    if (code != 200) return answer_retry(exchange, "state service");
+                    if (code != 200) return answer_retry(exchange, "the state service is not available");
                     job::JobRecord record;
                     try {
                       record = job::record_from_json(row.value, row.version);
                     } catch (const std::exception& e) {
-                      spdlog::error("job record {}: {}", id, e.what());
-                      return answer_retry(exchange, "state service");
+                      spdlog::error("cannot read job record {}: {}", id, e.what());
+                      return answer_retry(exchange, "the job record cannot be read");
                     }
                     if (record.final()) {
-                      // Whoever tells a user of a cancellation knows it from then on, and tells the peers.
+                      // A node that tells a user of a cancellation has to know it from then on, and to tell
+                      // its peers.
                       deps_.records.update_job(id, std::move(record));
                       deps_.records.publish_graph_changes();
                       deps_.schedule_tick();
-                      if (!answer_if_final(exchange, id)) answer_retry(exchange, "state service");
+                      if (!answer_if_final(exchange, id))
+                        answer_retry(exchange, "the job record is being updated");
                       return;
                     }
                     record.status = JobStatus::cancelled;
                     if (const auto* known = deps_.records.job(id); !record.spec && known)
                       record.spec = known->spec;
-                    // `done` and `cancelled` race by the guard: one of them finds the record changed.
+                    // `done` and `cancelled` race; the guard makes one of them fail because the record has
+                    // changed.
                     deps_.store.commit(
                         {{kJobPrefix + id, row.version}},
                         {{kJobPrefix + id, job::cancelled_value(record, platform_.value_room()), {}, false}},
                         store::Urgency::accept,
                         [this, exchange, id, tries, record](int commit, std::uint64_t revision) mutable {
                           if (commit == 409) return cancel(exchange, id, tries - 1);
-                          if (commit != 200) return answer_retry(exchange, "state service");
+                          if (commit != 200)
+                            return answer_retry(exchange, "the cancellation could not be recorded");
                           record.version = revision;
                           deps_.records.delete_parts(id, record);
                           deps_.records.update_job(id, std::move(record));
                           deps_.records.publish_graph_changes();
-                          // Ahead of the watch, which an outage may delay past the time a cancellation has.
+                          // Ahead of the watch, which an outage may delay beyond the time within which a
+                          // cancellation must take effect.
                           deps_.announce_cancellation(id);
                           deps_.schedule_tick();
-                          if (!answer_if_final(exchange, id)) answer_retry(exchange, "state service");
+                          if (!answer_if_final(exchange, id))
+                            answer_retry(exchange, "the job record is being updated");
                         });
                   });
 }
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -1,5 +1,5 @@
-// What users ask of a node: submissions, status, cancellations. Nothing is told before it is committed, and
-// nothing older than what any node may have told.
+// User requests: submissions, status, cancellations. A user is told only of what is committed, and never of a
+// state older than one that any node may have told.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,6 +18,7 @@
 
 namespace aspenwick::app {
 
+/// Answers the job requests of users.
 class JobApi {
  public:
   struct Dependencies {
@@ -26,9 +27,9 @@
     share::Peers& peers;
     Records& records;
     OwnedShares& owned_shares;
-    /// Tells the peers, ahead of the watch.
+    /// Tells the peers of a cancellation that this node has committed, ahead of the watch.
     std::function<void(const std::string& job)> announce_cancellation;
-    /// Users may be told of its cancellation.
+    /// Users may be told that the job is cancelled.
     std::function<bool(const std::string& job)> may_confirm_cancellation;
     std::function<void()> schedule_tick;
   };
@@ -39,12 +40,12 @@
   void status(const net::ExchangePtr& exchange, const std::string& id);
   void cancel(const net::ExchangePtr& exchange, const std::string& id);
 
-  /// A peer's word on a job of a share that it holds.
+  /// Handles the answer of a peer that was asked for the status of a job of its share.
   void on_peer_status(const share::StatusTell& tell);
   std::uint64_t request_count() const { return request_count_; }
 
  private:
-  /// A submission whose needed jobs are being looked up.
+  /// A submission in progress: first the jobs that it needs are looked up, then its rows are written.
   struct Submission {
     net::ExchangePtr exchange;
     job::JobRecord record;
@@ -54,7 +55,7 @@
     std::string tag;
     std::size_t next_part = 0;
   };
-  using TaskCounts = std::pair<std::uint32_t, std::uint32_t>;  // tasks that are done, and that run
+  using TaskCounts = std::pair<std::uint32_t, std::uint32_t>;  // tasks done, tasks running
   struct PendingStatus {
     net::ExchangePtr exchange;
     std::string job;
@@ -76,13 +77,13 @@
   void answer_retry(const net::ExchangePtr& exchange, const std::string& reason);
 
   const wire::PlatformSettings& platform_;
-  const std::uint64_t incarnation_;  // of our process
+  const std::uint64_t incarnation_;  // identifies this process
   Dependencies deps_;
   std::uint64_t last_tag_ = 0, request_count_ = 0;
   std::uint32_t last_status_request_ = 0;
   std::map<std::uint32_t, PendingStatus> pending_status_;
   std::unordered_map<std::string, TaskCounts>
-      task_counts_;  // of jobs that were not over, as their owners told last
+      task_counts_;  // of unfinished jobs, as last reported by the owners of their shares
 };
 
 }  // namespace aspenwick::app
--- a/src/app/keys.h
+++ b/src/app/keys.h
@@ -16,6 +16,6 @@
 inline const std::string kNodePrefix =
     "s/node/";  // formats that a node reads, on its lease; not written by the first version
 inline const std::string kPartPrefix = "s/part/";  // + job/tag/n: part of a spec that one value cannot hold
-inline const std::string kProgressPrefix = "p/";
+inline const std::string kProgressPrefix = "p/";   // + share/job/row
 
 }  // namespace aspenwick::app
--- a/src/app/latency_histogram.cpp
+++ b/src/app/latency_histogram.cpp
@@ -8,8 +8,9 @@
 namespace aspenwick::app {
 namespace bh = boost::histogram;
 namespace {
-constexpr double kMinMicros = 10, kMaxMicros = 1e9;  // microseconds; what is beyond counts at the ends
-constexpr unsigned kBins = 194;                      // each a tenth wider than the one before
+constexpr double kMinMicros = 10,
+                 kMaxMicros = 1e9;  // microseconds; values beyond count in the first or last bin
+constexpr unsigned kBins = 194;     // each a tenth wider than the one before
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
 using Counts = bh::histogram<std::tuple<Axis>, bh::dense_storage<std::uint32_t>>;
 }  // namespace
--- a/src/app/latency_histogram.h
+++ b/src/app/latency_histogram.h
@@ -1,4 +1,4 @@
-// How long things take, for the metrics line: a histogram of fixed size, whatever it counts.
+// A histogram of durations for the metrics lines; its size does not depend on the number of entries.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -8,6 +8,7 @@
 
 namespace aspenwick::app {
 
+/// Counts durations in bins of logarithmic width.
 class LatencyHistogram {
  public:
   LatencyHistogram();
@@ -16,10 +17,11 @@
   LatencyHistogram& operator=(const LatencyHistogram&) = delete;
 
   void record(Micros duration);
-  /// An upper bound of what this part of all took, exact to a tenth; 0 if nothing was counted.
+  /// An upper bound of the duration that this fraction of all entries took, at most a tenth too high; 0 if
+  /// there are no entries.
   Micros quantile(double fraction) const;
   std::uint64_t count() const;
-  /// "12 of 1.2/30.0 ms" for p50 and p99.
+  /// For example "12 of 1.2/30.0 ms": count, p50 and p99.
   std::string summary() const;
 
  private:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,3 +1,4 @@
+// Entry point of the aspenwick service: parses the options and settings, and runs the node on libevent.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -41,7 +42,7 @@
   return text.str();
 }
 
-/// The node on libevent: its loop, its sockets, and the controller between them.
+/// Runs the node on libevent: creates the event loop, the sockets, and the controller that uses them.
 void run_node(const aspenwick::wire::PlatformSettings& platform,
               const aspenwick::app::OperatorSettings& ops) {
   using namespace aspenwick;
@@ -53,7 +54,7 @@
   net::Client http(loop.base(), app::SocketBudget::kMaxServiceConnections);
   net::Client workers(loop.base(), kConnectionsPerWorker, budget.max_pushes);
   std::unique_ptr<app::Controller> controller;
-  // Both ports first: while they are ours, no former process of this node lives.
+  // Both ports are bound first: while this process holds them, no former process of this node is alive.
   const auto peers = net::patiently(
       [&] {
         return std::make_unique<share::PeerLink>(
@@ -81,7 +82,7 @@
                  open.machines(), open.open() - open.machines(), open.room(), workers.open(),
                  budget.max_pushes, http.open());
   });
-  spdlog::info("{} listens on {}", platform.name, platform.listen.text());
+  spdlog::info("{} listening on {}", platform.name, platform.listen.text());
   loop.run();
 }
 
@@ -91,9 +92,9 @@
   CLI::App cli{"aspenwick: a cluster scheduler that learns where tasks run well"};
   std::string config, ops_path;
   bool check = false;
-  cli.add_option("--config", config, "The platform's settings (JSON)")->required();
-  cli.add_option("--operator", ops_path, "Operators' own settings (YAML); see docs/operators.md");
-  cli.add_flag("--check", check, "Check the settings and end");
+  cli.add_option("--config", config, "Platform settings file (JSON)")->required();
+  cli.add_option("--operator", ops_path, "Operator settings file (YAML); see docs/operators.md");
+  cli.add_flag("--check", check, "Check the settings and exit");
   cli.set_version_flag("--version", std::string("aspenwick ") + ASPENWICK_VERSION);
   try {
     cli.parse(argc, argv);
@@ -112,7 +113,7 @@
     return 2;
   }
   if (check) {
-    std::cout << "settings are good\n";
+    std::cout << "the settings are valid\n";
     return 0;
   }
   signal(SIGPIPE, SIG_IGN);
--- a/src/app/operator_settings.cpp
+++ b/src/app/operator_settings.cpp
@@ -13,6 +13,7 @@
 
 using Setter = std::function<void(const YAML::Node&)>;
 
+/// The value of `key` as a number from `min` to `max`; throws InvalidSettings.
 double parse_number(const std::string& key, const YAML::Node& v, double min, double max) {
   double d = 0;
   try {
@@ -47,7 +48,7 @@
   setters["learner.goal"] = [&settings](const YAML::Node& v) {
     const auto goal = v.IsScalar() ? v.Scalar() : "";
     if (goal != "relative" && goal != "seconds")
-      throw InvalidSettings("operator settings: out of range: learner.goal (relative or seconds)");
+      throw InvalidSettings("operator settings: invalid value: learner.goal (relative or seconds)");
     settings.rnn.normalise = goal == "relative";
   };
   add_seconds("renting.idle_after_s", settings.renting.idle_after, 0, 3600);
@@ -66,10 +67,10 @@
   try {
     top = YAML::Load(yaml);
   } catch (const YAML::Exception& e) {
-    throw InvalidSettings(std::string("operator settings: not YAML: ") + e.what());
+    throw InvalidSettings(std::string("operator settings: invalid YAML: ") + e.what());
   }
   if (top.IsNull()) return settings;
-  if (!top.IsMap()) throw InvalidSettings("operator settings: not a map");
+  if (!top.IsMap()) throw InvalidSettings("operator settings: the top level is not a map");
   for (const auto& section : top) {
     const auto name = section.first.as<std::string>();
     const bool is_section = std::any_of(setters.begin(), setters.end(),
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr Micros kReportedStateMaxAge = 2 * kSecond;
 constexpr Micros kReportedHolderMaxAge = 1500 * kMillisecond;
-constexpr Micros kNewLeaderWait = 1500 * kMillisecond;  // of a new leader's key
+constexpr Micros kNewLeaderWait = 1500 * kMillisecond;  // after a new leader key was seen
 }  // namespace
 
 share::PeerState PeerService::own_state() const {
@@ -87,8 +87,9 @@
       deps_.loop.now());
 }
 
-/// Who takes the share later reads every record up to its key, and so the cancellation. Whoever may have
-/// taken it before, unseen by us, has to have said that it knows.
+/// The nodes that may own the job's share and may not know of its cancellation. A node that acquires the
+/// share later reads every record up to its owner key, and so the cancellation. Any node that may have
+/// acquired it before, unseen by us, must have said that it knows.
 std::vector<std::string> PeerService::possible_owners(const std::string& job, std::uint64_t revision) const {
   const auto& ownership = deps_.owned_shares.ownership();
   const auto* record = deps_.records.job(job);
@@ -111,7 +112,7 @@
       deps_.peers.send(peer.name, share::PlainCancelTell{job});
 }
 
-bool PeerService::heard_from_all_share_states() const {
+bool PeerService::heard_from_all_shares() const {
   const Micros now = deps_.loop.now();
   if (now - leader_since_ > kNewLeaderWait) return true;
   const auto& ownership = deps_.owned_shares.ownership();
@@ -170,7 +171,7 @@
 void PeerService::handle(const share::Heartbeat& heartbeat) {
   auto outcome = heartbeats_.heard(heartbeat, deps_.loop.now());
   if (outcome.state) {
-    // Repeated with each of its heartbeats, so that nothing piles up for a peer that can't be reached.
+    // Repeated with each heartbeat of the peer, so that nothing queues up for a peer that cannot be reached.
     cancellations_.peer_has(heartbeat.node, heartbeat.read_to, heartbeat.had);
     send_cancellations(heartbeat.node);
     outcome.state->knows_all =
@@ -187,7 +188,7 @@
     ownership.peer_reported(gossip.node, {gossip.state_ok, gossip.synced, gossip.lease, now, false, 0, {}});
   for (const auto& state : gossip.shares) reported_holders_[state.share] = {gossip.node, now};
   if (gossip.brief) return;
-  // Share by share: a node with thousands of machines tells them in several frames.
+  // Share by share, because a node with thousands of machines sends them in several frames.
   std::erase_if(reported_states_, [&](const auto& entry) {
     const OwnerKey* key = ownership.owner(entry.first);
     return entry.second.node == gossip.node && key && key->node != gossip.node;
@@ -215,7 +216,7 @@
 }
 
 void PeerService::handle(const share::PlainCancelTell& tell) {
-  // Of no known revision: the record that says it is still to come.
+  // The revision is not known: the record with the cancellation is still to come.
   deps_.records.apply_peer_cancellation(tell.job, 0);
   deps_.records.publish_graph_changes();
   deps_.schedule_tick();
@@ -226,7 +227,7 @@
   deps_.records.publish_graph_changes();
   cancellations_.heard(tell);
   deps_.schedule_tick();
-  send_heartbeat(tell.node);  // says that we know them: a user waits for it
+  send_heartbeat(tell.node);  // confirms that we know them; a user is waiting for it
 }
 
 }  // namespace aspenwick::app
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -1,5 +1,5 @@
-// What nodes tell each other: the gossip of shares, requests for machines, the status of jobs, cancellations
-// ahead of the watch.
+// Communication between nodes: gossip of share states, heartbeats, requests to release machines, job status,
+// and cancellations ahead of the watch.
 #pragma once
 #include <functional>
 #include <map>
@@ -18,6 +18,7 @@
 
 namespace aspenwick::app {
 
+/// Sends and handles the frames between nodes, and keeps what the peers reported last.
 class PeerService {
  public:
   struct Dependencies {
@@ -37,28 +38,31 @@
         heartbeats_(platform.name, incarnation),
         cancellations_(platform.name, incarnation) {}
 
-  /// Every half second, and when another node leads: all that we know of our shares to the leader and to
-  /// those that read no heartbeats, to the others only which they are.
+  /// Called every half second and when the leader changes. Sends the full state of the owned shares to the
+  /// leader and to peers that do not read heartbeats; to the others only which shares these are.
   void send_gossip();
-  /// Every quarter of a second: what we say of ourselves.
+  /// Called every quarter of a second: sends this node's own state to the peers that read heartbeats.
   void send_heartbeats();
-  /// The keys may have changed.
+  /// The owner keys or the leader key may have changed.
   void on_keys_changed();
-  /// We know that a job is cancelled, by a record of that revision; 0: told by a peer, the record is to come.
+  /// The job is known to be cancelled, by a record of this revision; 0: a peer said so and the record is
+  /// still to come.
   void on_cancellation_known(const std::string& job, std::uint64_t revision);
-  /// No owner of its share can start a task of this cancelled job any more: users may be told.
+  /// No owner of the job's share can start a task of this cancelled job any more, so users may be told.
   bool may_confirm_cancellation(const std::string& job);
-  /// We have committed it: the peers are told ahead of the watch.
+  /// This node has committed the cancellation: tells the peers ahead of the watch.
   void broadcast_cancellation(const std::string& job);
+  /// Dispatches a frame of a peer; `reply` sends a frame back to it.
   void handle_frame(const share::Frame& frame, const share::Peers::Reply& reply);
-  /// All shares as fresh as is known: ours, and others' as told lately.
+  /// The states of all shares, as fresh as known here: of owned shares, and of others as reported recently.
   std::vector<share::ShareSaid> all_share_states() const;
-  /// All shares that are held were told lately, or others have had the time to learn that we lead: a leader
-  /// that knows only its own shares would rent what others have to spare.
-  bool heard_from_all_share_states() const;
-  /// Who says lately that it holds a share; empty: nobody. Where our own view of the keys may be old.
+  /// All owned shares were reported recently, or the other nodes have had the time to learn that this node
+  /// leads. A leader that knows only its own shares would rent machines that other shares have to spare.
+  bool heard_from_all_shares() const;
+  /// The node that recently reported to own the share; empty: none. For use while this node's own view of the
+  /// keys may be outdated.
   std::string reported_owner(int share) const;
-  /// As the leader's plan wants it: by us, or by whoever holds the share.
+  /// Executes a move of the leader's plan, here or by asking the owner of the share.
   void execute_move(const fleet::Move& move);
 
  private:
@@ -83,10 +87,11 @@
   share::Heartbeats heartbeats_;
   share::Cancellations cancellations_;
   share::PendingConfirmations confirmations_;
-  std::map<int, ReportedState> reported_states_;  // by share, the last word of whoever held it
-  std::map<int, std::pair<std::string, Micros>> reported_holders_;  // who said that it holds it, and when
+  std::map<int, ReportedState> reported_states_;  // by share, as last reported by its owner
+  std::map<int, std::pair<std::string, Micros>>
+      reported_holders_;  // by share: the node that said it owns the share, and when
   std::uint64_t leader_epoch_ = 0;
-  Micros leader_since_ = 0;  // since we saw the leader's key as it is
+  Micros leader_since_ = 0;  // when the current leader key was first seen
 };
 
 }  // namespace aspenwick::app
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -197,7 +197,7 @@
     if (it->second.spec && spdlog::should_log(spdlog::level::debug)) {
       const auto c = graph_.course(id, it->second);
       spdlog::debug("job {} ({}) {} {:.1f} s ago, rank {}, to finish in {:.1f} s", id,
-                    it->second.spec->job_class, graph_.ready(id) ? "became ready" : "is waiting, submitted",
+                    it->second.spec->job_class, graph_.ready(id) ? "became ready" : "is waiting, accepted",
                     to_seconds(deps_.loop.time_of_day() - c.ready), static_cast<int>(c.rank),
                     c.finish_by ? to_seconds(*c.finish_by - deps_.loop.time_of_day()) : 0.0);
     }
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -78,8 +78,8 @@
 }
 
 /// A machine that joined with results of another share's job, as owners of earlier versions handed it over,
-/// keeps them until the owner of that share has recorded them. Its progress rows are read one after the
-/// other; the end of the job settles it as well.
+/// is not released until the owner of that share has recorded them. The progress rows are read here one after
+/// the other; the end of the job settles it as well.
 void ResultWriter::read_foreign_chunks() {
   const Micros now = deps_.loop.now();
   if (now - last_foreign_read_ < kForeignReadInterval) return;
--- a/src/app/socket_budget.h
+++ b/src/app/socket_budget.h
@@ -1,4 +1,5 @@
-// How the sockets that the platform allows a node are parted, so that none of its callers can take them all.
+// Divides the sockets that the platform allows a node among its uses, so that no kind of caller can take them
+// all.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -7,16 +8,18 @@
 
 namespace aspenwick::app {
 
+/// Numbers of sockets for each use.
 struct SocketBudget {
   static constexpr std::size_t kMaxServiceConnections =
-      24;  // connections at most, to the state service and to the cloud
-  static constexpr std::size_t kMaxPeerConnections = 32;  // accepted at peer_listen
-  std::size_t max_pushes = 0;   // to workers: at most so many are under way, and as many connections kept
+      24;  // connections to the state service, and as many to the cloud
+  static constexpr std::size_t kMaxPeerConnections = 32;  // connections accepted at peer_listen
+  std::size_t max_pushes = 0;   // pushes in flight to workers, and connections kept open to them
   std::size_t max_callers = 0;  // workers, users and the load balancer's probes
-  std::size_t reserved = 0;     // accepted ones that have not asked for anything yet, files, listeners
+  std::size_t reserved = 0;     // for accepted connections without a request yet, files, and listeners
 };
 
-/// All parts together with the services' and peers' stay within `sockets`, however few; each is at least 1.
+/// Together with the connections to services and peers, all numbers stay within `sockets`, however small it
+/// is; each is at least 1.
 inline SocketBudget socket_budget(const wire::PlatformSettings& p) {
   const auto all = static_cast<std::size_t>(std::max(p.sockets, 1));
   SocketBudget b;
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -40,22 +40,25 @@
   }
   const int share = machine->share;
   const OwnerKey* key = ownership.owner(share);
-  if (share < 0 || !key) return refuse_or_redirect(exchange, share, "", "no owner");
-  if (!ownership.ours(key)) return refuse_or_redirect(exchange, share, key->node, "not yet");
+  if (share < 0 || !key) return refuse_or_redirect(exchange, share, "", "the share has no owner");
+  if (!ownership.ours(key))
+    return refuse_or_redirect(exchange, share, key->node, "the share belongs to another node");
   OwnedShares::OwnedShare* owned = deps_.owned_shares.find(share);
-  if (!owned || owned->handing_back) return exchange->answer(503, wire::error_body("not yet"));
+  if (!owned || owned->handing_back)
+    return exchange->answer(503, wire::error_body("the share is being acquired or handed back"));
   const Micros now = deps_.loop.now();
   if (!ownership.may_renew_workers(share, now))
-    return refuse_or_redirect(exchange, share, "", "no right to act");
+    return refuse_or_redirect(exchange, share, "", "this node may not renew worker leases now");
   const auto reply = owned->controller->on_report(report, now, deps_.owned_shares.start_refusal(*owned));
-  if (!reply) return exchange->answer(503, wire::error_body("no right to act"));
+  if (!reply) return exchange->answer(503, wire::error_body("the lease of the worker must expire first"));
   exchange->answer(200, wire::report_answer(reply->token, reply->orders));
   deps_.schedule_tick();
 }
 
-/// Names the owner if that is surely known. The keys tell it while our view of them can't be old; else only
-/// a peer's own word does. Two nodes that the state service refuses sent workers to each other, by keys long
-/// gone, until their leases ran out, while a third held their share.
+/// Redirects the worker to the owner if that is certain, else refuses. The keys name the owner only while
+/// this node's view of them cannot be outdated; otherwise only a recent report of a peer does. Two nodes that
+/// the state service refused once redirected workers to each other, by keys long removed, until the workers'
+/// leases ran out, while a third node owned their share.
 void WorkerApi::refuse_or_redirect(const ExchangePtr& exchange, int share, const std::string& key_owner,
                                    const char* reason) const {
   const auto& ownership = deps_.owned_shares.ownership();
@@ -67,7 +70,7 @@
 
 void WorkerApi::register_machine(const ExchangePtr& exchange, const WorkerReport& report) {
   if (!registering_.insert(report.machine).second)
-    return exchange->answer(503, wire::error_body("being adopted"));
+    return exchange->answer(503, wire::error_body("the machine is being registered"));
   share::MachineRecord m;
   m.id = report.machine;
   m.address = report.address;
@@ -75,7 +78,7 @@
   m.zone = report.zone;
   m.spot = report.spot;
   m.share = deps_.share_for(report);
-  // If it has obeyed someone, only a newer epoch can give it orders.
+  // A worker that has accepted a token obeys only orders of a higher epoch.
   if (report.token > 0)
     m.epoch = std::max(deps_.owned_shares.highest_epoch(), share::epoch_of_token(report.token)) + 1;
   deps_.store.commit(
@@ -83,7 +86,7 @@
       {{kMachinePrefix + m.id, share::machine_to_json(m), {}, false}}, store::Urgency::user,
       [this, exchange, report, m](int code, std::uint64_t revision) mutable {
         registering_.erase(report.machine);
-        if (code != 200) return exchange->answer(503, wire::error_body("state service"));
+        if (code != 200) return exchange->answer(503, wire::error_body("the machine could not be recorded"));
         deps_.machine_registered(report.machine);
         spdlog::info("machine {} ({}, {}{}) joins share {}", m.id, m.type, m.zone, m.spot ? ", spot" : "",
                      m.share);
@@ -99,7 +102,7 @@
 void WorkerApi::push_orders() {
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     if (!deps_.owned_shares.may_commit(owned)) continue;
-    if (pushes_in_flight_ >= max_pushes_) return;  // each takes a socket; reports carry orders too
+    if (pushes_in_flight_ >= max_pushes_) return;  // each push takes a socket; the rest waits for a report
     for (const auto& p : owned.controller->pushes(deps_.loop.now(), max_pushes_ - pushes_in_flight_,
                                                   deps_.owned_shares.start_refusal(owned)))
       push(share, owned.generation, p);
@@ -132,7 +135,7 @@
       parsed = wire::parse_report(body);
       report = &parsed;
     } catch (const std::exception& e) {
-      spdlog::error("worker {}: {}", machine, e.what());
+      spdlog::error("cannot read the answer of worker {}: {}", machine, e.what());
     }
   owned->controller->pushed(machine, report ? code : 0, report, deps_.loop.now());
   deps_.schedule_tick();
--- a/src/app/worker_api.h
+++ b/src/app/worker_api.h
@@ -1,5 +1,5 @@
-// What workers say to a node and what it says to them: reports and their answers, machines that report for
-// the first time, orders that don't wait for a report.
+// Traffic with workers: their reports and the answers, registration of machines that report for the first
+// time, and orders that are pushed without waiting for a report.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,6 +15,7 @@
 
 namespace aspenwick::app {
 
+/// Answers worker reports and pushes orders to workers.
 class WorkerApi {
  public:
   struct Dependencies {
@@ -23,10 +24,10 @@
     store::Client& store;
     Records& records;
     OwnedShares& owned_shares;
-    /// The share that a machine without a record should join; asked of the leader only.
+    /// The share that a machine without a record should join. Called on the leader only.
     std::function<int(const wire::WorkerReport&)> share_for;
     std::function<void(const std::string& machine)> machine_registered;
-    /// Who says lately that it holds the share; empty: nobody.
+    /// The node that recently reported to own the share; empty: none.
     std::function<std::string(int share)> reported_owner;
     std::function<void()> schedule_tick;
   };
@@ -35,7 +36,9 @@
         deps_(std::move(dependencies)),
         max_pushes_(socket_budget(platform).max_pushes) {}
 
+  /// Handles a report of a worker: answers with orders, registers a new machine, or redirects.
   void handle_report(const net::ExchangePtr& exchange);
+  /// Sends pending orders to workers, within the limit of pushes in flight.
   void push_orders();
   std::uint64_t report_count() const { return report_count_; }
 
@@ -53,7 +56,7 @@
   const std::size_t max_pushes_;
   std::set<std::string> registering_;
   std::uint64_t report_count_ = 0;
-  std::size_t pushes_in_flight_ = 0;  // pushes that have no answer yet
+  std::size_t pushes_in_flight_ = 0;  // pushes without an answer yet
 };
 
 }  // namespace aspenwick::app
