--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -34,7 +34,7 @@
 }
 }  // namespace
 
-Controller::Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops,
+Controller::Controller(const wire::PlatformSettings& platform, const OperatorSettings& operator_settings,
                        Dependencies dependencies)
     : loop_(dependencies.loop),
       report_interval_(platform.report),
@@ -46,14 +46,14 @@
                           [this](const std::string& id, std::uint64_t revision) {
                             peer_service_.on_cancellation_known(id, revision);
                           }}),
-      owned_shares_(platform, ops, {loop_, store_, records_, [this] { schedule_tick(); }}),
+      owned_shares_(platform, operator_settings, {loop_, store_, records_, [this] { schedule_tick(); }}),
       result_writer_(platform, {loop_, store_, records_, owned_shares_, [this] { schedule_tick(); }}),
       peer_service_(
           platform, dependencies.incarnation,
           {loop_, dependencies.peers, store_, records_, owned_shares_,
            [this](const std::string& m, int to) { result_writer_.move_machine(m, to); },
            [this](const share::StatusTell& t) { job_api_.on_peer_status(t); }, [this] { schedule_tick(); }}),
-      leader_(platform, ops.renting, records_.types(), records_.machines(),
+      leader_(platform, operator_settings.renting, records_.types(), records_.machines(),
               {[this] { return loop_.now(); }, dependencies.http,
                [this] { return peer_service_.all_share_states(); },
                [this](const auto& types) { records_.write_types(types); },
@@ -177,14 +177,14 @@
 void Controller::tick() {
   tick_scheduled_ = false;
   bool more = false;
-  for (auto& [s, owned] : owned_shares_.all()) {
+  for (auto& [share, owned] : owned_shares_.all()) {
     const Micros began = loop_.now();
     more |= owned.controller->tick(began, owned_shares_.start_refusal(owned));
     planning_times_.record(loop_.now() - began);
-    for (const Micros w : owned.controller->take_waits()) task_waits_.record(w);
-    for (const Micros w : owned.controller->take_result_waits()) result_waits_.record(w);
+    for (const Micros wait : owned.controller->take_waits()) task_waits_.record(wait);
+    for (const Micros wait : owned.controller->take_result_waits()) result_waits_.record(wait);
   }
-  for (auto& [s, owned] : owned_shares_.all())
+  for (auto& [share, owned] : owned_shares_.all())
     for (const auto& [machine, to] : owned.controller->drained()) result_writer_.move_machine(machine, to);
   worker_api_.push_orders();
   result_writer_.tick();
@@ -224,12 +224,12 @@
   const auto held = controller.held_results(loop_.now());
   spdlog::info("metrics: share {} results not recorded: {} on {} machines, the oldest for {:.1f} s", share,
                held.results, held.machines, to_seconds(held.oldest));
-  const auto a = controller.attribution();
+  const auto attribution = controller.attribution();
   spdlog::info(
       "metrics: share {} reported before their jobs' records: {} attempts and {} results open, "
       "{} and {} attributed, {} and {} dropped",
-      share, a.open_attempts, a.open_results, a.attributed_attempts, a.attributed_results, a.dropped_attempts,
-      a.dropped_results);
+      share, attribution.open_attempts, attribution.open_results, attribution.attributed_attempts,
+      attribution.attributed_results, attribution.dropped_attempts, attribution.dropped_results);
   spdlog::info("metrics: share {} releases refused:{}", share,
                format_counts<place::ReleaseRefusal>(controller.releases_refused()));
 }
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -36,7 +36,8 @@
   };
   /// `platform` and all dependencies must outlive the Controller. The loop must not run after the Controller
   /// is destroyed, because its timers refer to it.
-  Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops, Dependencies dependencies);
+  Controller(const wire::PlatformSettings& platform, const OperatorSettings& operator_settings,
+             Dependencies dependencies);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -37,11 +37,11 @@
 void JobApi::on_peer_status(const share::StatusTell& tell) {
   auto it = pending_status_.find(tell.request);
   if (it == pending_status_.end()) return;
-  const PendingStatus wait = std::move(it->second);
+  const PendingStatus pending_status = std::move(it->second);
   pending_status_.erase(it);
   // While a share changes hands, its new owner may not know the job yet and has nothing to report of it.
-  if (tell.known) cache_task_counts(wait.job, {tell.done, tell.running});
-  answer_with_status(wait.exchange, 200, wait.job);
+  if (tell.known) cache_task_counts(pending_status.job, {tell.done, tell.running});
+  answer_with_status(pending_status.exchange, 200, pending_status.job);
 }
 
 void JobApi::cache_task_counts(const std::string& id, TaskCounts counts) {
@@ -141,7 +141,7 @@
         return reject(submission->exchange, 422, submission->record.spec->id, kNeedsServiceError);
       continue;
     }
-    if (++submission->asked > kMaxLookups)
+    if (++submission->lookups > kMaxLookups)
       return answer_retry(submission->exchange, "too many jobs to look up at once");
     deps_.store.get(
         kJobPrefix + id, store::Urgency::accept, [this, submission, id](int code, const wire::Row& row) {
@@ -279,9 +279,9 @@
       deps_.loop.later(kPeerAnswerTimeout, [this, request] {
         auto pending = pending_status_.find(request);
         if (pending == pending_status_.end()) return;
-        const PendingStatus wait = std::move(pending->second);
+        const PendingStatus pending_status = std::move(pending->second);
         pending_status_.erase(pending);
-        answer_with_status(wait.exchange, 200, wait.job);  // with the last known counts
+        answer_with_status(pending_status.exchange, 200, pending_status.job);  // with the last known counts
       });
       return;
     }
@@ -293,52 +293,49 @@
   if (answer_if_final(exchange, id)) return;
   if (!deps_.records.synced() || tries == 0)
     return answer_retry(exchange, "the job record cannot be changed now");
-  deps_.store.get(kJobPrefix + id, store::Urgency::accept,
-                  [this, exchange, id, tries](int code, const wire::Row& row) {
-                    if (code == 404) return exchange->answer(404, wire::error_body("no such job"));
-                    if (code != 200) return answer_retry(exchange, "the state service is not available");
-                    job::JobRecord record;
-                    try {
-                      record = job::record_from_json(row.value, row.version);
-                    } catch (const std::exception& e) {
-                      spdlog::error("cannot read job record {}: {}", id, e.what());
-                      return answer_retry(exchange, "the job record cannot be read");
-                    }
-                    if (record.final()) {
-                      // A node that tells a user of a cancellation has to know it from then on, and to tell
-                      // its peers.
-                      deps_.records.update_job(id, std::move(record));
-                      deps_.records.publish_graph_changes();
-                      deps_.schedule_tick();
-                      if (!answer_if_final(exchange, id))
-                        answer_retry(exchange, "the job record is being updated");
-                      return;
-                    }
-                    record.status = JobStatus::cancelled;
-                    if (const auto* known = deps_.records.job(id); !record.spec && known)
-                      record.spec = known->spec;
-                    // `done` and `cancelled` race; the guard makes one of them fail because the record has
-                    // changed.
-                    deps_.store.commit(
-                        {{kJobPrefix + id, row.version}},
-                        {{kJobPrefix + id, job::cancelled_value(record, platform_.value_room()), {}, false}},
-                        store::Urgency::accept,
-                        [this, exchange, id, tries, record](int commit, std::uint64_t revision) mutable {
-                          if (commit == 409) return cancel(exchange, id, tries - 1);
-                          if (commit != 200)
-                            return answer_retry(exchange, "the cancellation could not be recorded");
-                          record.version = revision;
-                          deps_.records.delete_parts(id, record);
-                          deps_.records.update_job(id, std::move(record));
-                          deps_.records.publish_graph_changes();
-                          // Ahead of the watch, which an outage may delay beyond the time within which a
-                          // cancellation must take effect.
-                          deps_.announce_cancellation(id);
-                          deps_.schedule_tick();
-                          if (!answer_if_final(exchange, id))
-                            answer_retry(exchange, "the job record is being updated");
-                        });
-                  });
+  deps_.store.get(
+      kJobPrefix + id, store::Urgency::accept, [this, exchange, id, tries](int code, const wire::Row& row) {
+        if (code == 404) return exchange->answer(404, wire::error_body("no such job"));
+        if (code != 200) return answer_retry(exchange, "the state service is not available");
+        job::JobRecord record;
+        try {
+          record = job::record_from_json(row.value, row.version);
+        } catch (const std::exception& e) {
+          spdlog::error("cannot read job record {}: {}", id, e.what());
+          return answer_retry(exchange, "the job record cannot be read");
+        }
+        if (record.final()) {
+          // A node that tells a user of a cancellation has to know it from then on, and to tell
+          // its peers.
+          deps_.records.update_job(id, std::move(record));
+          deps_.records.publish_graph_changes();
+          deps_.schedule_tick();
+          if (!answer_if_final(exchange, id)) answer_retry(exchange, "the job record is being updated");
+          return;
+        }
+        record.status = JobStatus::cancelled;
+        if (const auto* known = deps_.records.job(id); !record.spec && known) record.spec = known->spec;
+        // `done` and `cancelled` race; the guard makes one of them fail because the record has
+        // changed.
+        deps_.store.commit(
+            {{kJobPrefix + id, row.version}},
+            {{kJobPrefix + id, job::cancelled_value(record, platform_.value_room()), {}, false}},
+            store::Urgency::accept,
+            [this, exchange, id, tries, record](int commit_status, std::uint64_t revision) mutable {
+              if (commit_status == 409) return cancel(exchange, id, tries - 1);
+              if (commit_status != 200)
+                return answer_retry(exchange, "the cancellation could not be recorded");
+              record.version = revision;
+              deps_.records.delete_parts(id, record);
+              deps_.records.update_job(id, std::move(record));
+              deps_.records.publish_graph_changes();
+              // Ahead of the watch, which an outage may delay beyond the time within which a
+              // cancellation must take effect.
+              deps_.announce_cancellation(id);
+              deps_.schedule_tick();
+              if (!answer_if_final(exchange, id)) answer_retry(exchange, "the job record is being updated");
+            });
+      });
 }
 
 }  // namespace aspenwick::app
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -50,7 +50,7 @@
     net::ExchangePtr exchange;
     job::JobRecord record;
     std::size_t next_needed_job = 0;
-    int asked = 0;
+    int lookups = 0;
     job::RecordRows rows;
     std::string tag;
     std::size_t next_part = 0;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -44,9 +44,9 @@
 
 /// Runs the node on libevent: creates the event loop, the sockets, and the controller that uses them.
 void run_node(const aspenwick::wire::PlatformSettings& platform,
-              const aspenwick::app::OperatorSettings& ops) {
+              const aspenwick::app::OperatorSettings& operator_settings) {
   using namespace aspenwick;
-  constexpr std::size_t kConnectionsPerWorker = 2;  // connections
+  constexpr std::size_t kConnectionsPerWorker = 2;
   constexpr int kBindAttempts = 100;
   constexpr Micros kBindRetryDelay = 100 * kMillisecond, kIdleTimeout = 30 * kSecond;
   const auto budget = app::socket_budget(platform);
@@ -75,7 +75,7 @@
   std::random_device random;
   const std::uint64_t incarnation = (std::uint64_t{random()} << 32 | random()) | 1;  // not 0
   controller = std::make_unique<app::Controller>(
-      platform, ops, app::Controller::Dependencies{loop, http, workers, *peers, incarnation});
+      platform, operator_settings, app::Controller::Dependencies{loop, http, workers, *peers, incarnation});
   loop.every(kSocketMetricsInterval, [&] {
     const auto& open = server->connections();
     spdlog::info("metrics: sockets: workers in {}, others in {} of {}, pushes out {} of {}, services out {}",
@@ -90,10 +90,11 @@
 
 int main(int argc, char** argv) {
   CLI::App cli{"aspenwick: a cluster scheduler that learns where tasks run well"};
-  std::string config, ops_path;
+  std::string config, operator_settings_path;
   bool check = false;
   cli.add_option("--config", config, "Platform settings file (JSON)")->required();
-  cli.add_option("--operator", ops_path, "Operator settings file (YAML); see docs/operators.md");
+  cli.add_option("--operator", operator_settings_path,
+                 "Operator settings file (YAML); see docs/operators.md");
   cli.add_flag("--check", check, "Check the settings and exit");
   cli.set_version_flag("--version", std::string("aspenwick ") + ASPENWICK_VERSION);
   try {
@@ -103,11 +104,12 @@
   }
   start_log();
   aspenwick::wire::PlatformSettings platform;
-  aspenwick::app::OperatorSettings ops;
+  aspenwick::app::OperatorSettings operator_settings;
   try {
     platform = aspenwick::wire::parse_settings(read_file(config));
     aspenwick::share::check_time_to_cancel(platform);
-    if (!ops_path.empty()) ops = aspenwick::app::load_operator_settings(ops_path);
+    if (!operator_settings_path.empty())
+      operator_settings = aspenwick::app::load_operator_settings(operator_settings_path);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
     return 2;
@@ -118,7 +120,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   try {
-    run_node(platform, ops);
+    run_node(platform, operator_settings);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
     return 1;
--- a/src/app/operator_settings.cpp
+++ b/src/app/operator_settings.cpp
@@ -14,19 +14,19 @@
 using Setter = std::function<void(const YAML::Node&)>;
 
 /// The value of `key` as a number from `min` to `max`; throws InvalidSettings.
-double parse_number(const std::string& key, const YAML::Node& v, double min, double max) {
-  double d = 0;
+double parse_number(const std::string& key, const YAML::Node& node, double min, double max) {
+  double value = 0;
   try {
-    d = v.as<double>();
+    value = node.as<double>();
   } catch (const YAML::Exception&) {
     throw InvalidSettings("operator settings: not a number: " + key);
   }
-  if (!(d >= min && d <= max)) {
+  if (!(value >= min && value <= max)) {
     std::ostringstream range;
     range << "operator settings: out of range: " << key << " (" << min << " to " << max << ")";
     throw InvalidSettings(range.str());
   }
-  return d;
+  return value;
 }
 
 }  // namespace
@@ -35,18 +35,18 @@
   OperatorSettings settings;
   std::map<std::string, Setter> setters;
   auto add_number = [&](const std::string& key, double& to, double min, double max) {
-    setters[key] = [=, &to](const YAML::Node& v) { to = parse_number(key, v, min, max); };
+    setters[key] = [=, &to](const YAML::Node& node) { to = parse_number(key, node, min, max); };
   };
   auto add_seconds = [&](const std::string& key, Micros& to, double min, double max) {
-    setters[key] = [=, &to](const YAML::Node& v) { to = from_seconds(parse_number(key, v, min, max)); };
+    setters[key] = [=, &to](const YAML::Node& node) { to = from_seconds(parse_number(key, node, min, max)); };
   };
   add_number("learner.memory", settings.rnn.memory, 0.01, 0.99);
   add_number("learner.round_robin", settings.rnn.round_robin, 0, 1);
-  setters["learner.sweeps"] = [&settings](const YAML::Node& v) {
-    settings.rnn.sweeps = static_cast<int>(parse_number("learner.sweeps", v, 1, 100));
+  setters["learner.sweeps"] = [&settings](const YAML::Node& node) {
+    settings.rnn.sweeps = static_cast<int>(parse_number("learner.sweeps", node, 1, 100));
   };
-  setters["learner.goal"] = [&settings](const YAML::Node& v) {
-    const auto goal = v.IsScalar() ? v.Scalar() : "";
+  setters["learner.goal"] = [&settings](const YAML::Node& node) {
+    const auto goal = node.IsScalar() ? node.Scalar() : "";
     if (goal != "relative" && goal != "seconds")
       throw InvalidSettings("operator settings: invalid value: learner.goal (relative or seconds)");
     settings.rnn.normalise = goal == "relative";
@@ -63,15 +63,15 @@
   add_seconds("machines.suspect_for_s", settings.suspect_for, 0, 3600);
   add_seconds("jobs.error_backoff_s", settings.error_backoff, 0, 60);
 
-  YAML::Node top;
+  YAML::Node root;
   try {
-    top = YAML::Load(yaml);
+    root = YAML::Load(yaml);
   } catch (const YAML::Exception& e) {
     throw InvalidSettings(std::string("operator settings: invalid YAML: ") + e.what());
   }
-  if (top.IsNull()) return settings;
-  if (!top.IsMap()) throw InvalidSettings("operator settings: the top level is not a map");
-  for (const auto& section : top) {
+  if (root.IsNull()) return settings;
+  if (!root.IsMap()) throw InvalidSettings("operator settings: the top level is not a map");
+  for (const auto& section : root) {
     const auto name = section.first.as<std::string>();
     const bool is_section = std::any_of(setters.begin(), setters.end(),
                                         [&](const auto& k) { return k.first.starts_with(name + "."); });
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -60,13 +60,13 @@
 std::vector<std::string> OwnedShares::missing_keys(const std::set<std::string>& seen, std::uint64_t as_of,
                                                    bool first) const {
   std::vector<std::string> out;
-  auto look = [&](const std::string& key, const OwnerKey* known) {
+  auto check_key = [&](const std::string& key, const OwnerKey* known) {
     const bool due = known ? known->version <= as_of : first;
     if (due && !seen.contains(key)) out.push_back(key);
   };
   for (int share = 0; share < ownership_.shares(); ++share)
-    look(kOwnerPrefix + std::to_string(share), ownership_.owner(share));
-  look(kLeaderKey, ownership_.leader());
+    check_key(kOwnerPrefix + std::to_string(share), ownership_.owner(share));
+  check_key(kLeaderKey, ownership_.leader());
   return out;
 }
 
@@ -203,15 +203,15 @@
         if (!ok)
           return deps_.loop.later(kLoadRetryDelay,
                                   [this, share, generation] { load_progress(share, generation); });
-        std::vector<std::string> over;
+        std::vector<std::string> obsolete_keys;
         for (const auto& r : rows) {
           const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
           if (!name || !r.value.is_string()) continue;
-          if (const auto* j = records().job(name->first); j && j->final()) over.push_back(r.key);
+          if (const auto* j = records().job(name->first); j && j->final()) obsolete_keys.push_back(r.key);
           owned->controller->load_done(name->first, name->second, r.value.get<std::string>(), r.version);
         }
         deps_.records.delete_keys(
-            std::move(over));  // left by an owner that ended, or by a version without unit rows
+            std::move(obsolete_keys));  // left by an owner that ended, or by a version without unit rows
         owned->controller->loaded(deps_.loop.now());
         deps_.schedule_tick();
       });
--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -53,13 +53,13 @@
 void OwnedShares::acquire_key(const std::string& key, const std::string& counter,
                               std::function<void(int)> done) {
   auto it = epoch_counters_.find(counter);
-  const std::uint64_t seen = it == epoch_counters_.end() ? 0 : it->second.second;
-  const OwnerKey mine{platform_.name, *ownership_.lease(), highest_epoch() + 1, 0};
+  const std::uint64_t counter_version = it == epoch_counters_.end() ? 0 : it->second.second;
+  const OwnerKey new_key{platform_.name, *ownership_.lease(), highest_epoch() + 1, 0};
   // As urgent as lease renewals: while a share has no owner, the leases of its workers run out.
-  deps_.store.commit(
-      {{key, 0}, {counter, seen}},
-      {{counter, {{"n", mine.epoch}}, {}, false}, {key, share::owner_to_json(mine), mine.lease, false}},
-      store::Urgency::now, [done = std::move(done)](int code, std::uint64_t) { done(code); });
+  deps_.store.commit({{key, 0}, {counter, counter_version}},
+                     {{counter, {{"n", new_key.epoch}}, {}, false},
+                      {key, share::owner_to_json(new_key), new_key.lease, false}},
+                     store::Urgency::now, [done = std::move(done)](int code, std::uint64_t) { done(code); });
 }
 
 void OwnedShares::acquire_share(int share) {
@@ -129,17 +129,18 @@
   const std::string key = kOwnerPrefix + std::to_string(share),
                     counter = kEpochCounterPrefix + std::to_string(share);
   const auto it = epoch_counters_.find(counter);
-  const OwnerKey mine{platform_.name, *ownership_.lease(), owned.pending_epoch, 0};
+  const OwnerKey new_key{platform_.name, *ownership_.lease(), owned.pending_epoch, 0};
   deps_.store.commit(
       {{key, owned.key_version}, {counter, it == epoch_counters_.end() ? 0 : it->second.second}},
-      {{counter, {{"n", mine.epoch}}, {}, false}, {key, share::owner_to_json(mine), mine.lease, false}},
+      {{counter, {{"n", new_key.epoch}}, {}, false},
+       {key, share::owner_to_json(new_key), new_key.lease, false}},
       store::Urgency::user,
-      [this, share, generation = owned.generation, mine = OwnerKey(mine)](int code,
-                                                                          std::uint64_t revision) mutable {
+      [this, share, generation = owned.generation, new_key = OwnerKey(new_key)](
+          int code, std::uint64_t revision) mutable {
         if (code != 200 || !find(share, generation)) return;
-        mine.version = revision;
+        new_key.version = revision;
         if (!row_revisions_.advance(kOwnerPrefix + std::to_string(share), revision)) return;
-        ownership_.owner_set(share, mine, deps_.loop.now());
+        ownership_.owner_set(share, new_key, deps_.loop.now());
         sync_controllers();
       });
 }
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr Micros kReportedStateMaxAge = 2 * kSecond;
-constexpr Micros kReportedHolderMaxAge = 1500 * kMillisecond;
+constexpr Micros kReportedOwnerMaxAge = 1500 * kMillisecond;
 constexpr Micros kNewLeaderWait = 1500 * kMillisecond;  // after a new leader key was seen
 }  // namespace
 
@@ -125,8 +125,8 @@
 }
 
 std::string PeerService::reported_owner(int share) const {
-  auto it = reported_holders_.find(share);
-  return it == reported_holders_.end() || deps_.loop.now() - it->second.second > kReportedHolderMaxAge
+  auto it = reported_owners_.find(share);
+  return it == reported_owners_.end() || deps_.loop.now() - it->second.second > kReportedOwnerMaxAge
              ? ""
              : it->second.first;
 }
@@ -186,7 +186,7 @@
   auto& ownership = deps_.owned_shares.ownership();
   if (heartbeats_.take_gossip(gossip, now))
     ownership.peer_reported(gossip.node, {gossip.state_ok, gossip.synced, gossip.lease, now, false, 0, {}});
-  for (const auto& state : gossip.shares) reported_holders_[state.share] = {gossip.node, now};
+  for (const auto& state : gossip.shares) reported_owners_[state.share] = {gossip.node, now};
   if (gossip.brief) return;
   // Share by share, because a node with thousands of machines sends them in several frames.
   std::erase_if(reported_states_, [&](const auto& entry) {
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -56,8 +56,9 @@
   void handle_frame(const share::Frame& frame, const share::Peers::Reply& reply);
   /// The states of all shares, as fresh as known here: of owned shares, and of others as reported recently.
   std::vector<share::ShareSaid> all_share_states() const;
-  /// All owned shares were reported recently, or the other nodes have had the time to learn that this node
-  /// leads. A leader that knows only its own shares would rent machines that other shares have to spare.
+  /// All shares that have an owner were reported recently, or the other nodes have had the time to learn that
+  /// this node leads. A leader that knows only its own shares would rent machines that other shares have to
+  /// spare.
   bool heard_from_all_shares() const;
   /// The node that recently reported to own the share; empty: none. For use while this node's own view of the
   /// keys may be outdated.
@@ -89,7 +90,7 @@
   share::PendingConfirmations confirmations_;
   std::map<int, ReportedState> reported_states_;  // by share, as last reported by its owner
   std::map<int, std::pair<std::string, Micros>>
-      reported_holders_;  // by share: the node that said it owns the share, and when
+      reported_owners_;  // by share: the node that said it owns the share, and when
   std::uint64_t leader_epoch_ = 0;
   Micros leader_since_ = 0;  // when the current leader key was first seen
 };
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -128,20 +128,20 @@
 }
 
 void Records::store_job(const std::string& id, job::JobRecord record) {
-  job::JobRecord& kept = jobs_[id];
-  const bool news = record.status == JobStatus::cancelled &&
-                    (kept.status != JobStatus::cancelled || kept.version < record.version);
+  job::JobRecord& stored = jobs_[id];
+  const bool newly_cancelled = record.status == JobStatus::cancelled &&
+                               (stored.status != JobStatus::cancelled || stored.version < record.version);
   // A cancellation from a peer that does not know its revision carries the revision of the record before it.
-  const bool of_known_revision = record.version > kept.version;
-  if (news) deps_.job_cancelled(id, of_known_revision ? record.version : 0);
+  const bool of_known_revision = record.version > stored.version;
+  if (newly_cancelled) deps_.job_cancelled(id, of_known_revision ? record.version : 0);
   // A record in parts is complete once all of them are here; an update of a record that had its spec keeps
   // it.
-  if (!record.spec && kept.spec && record.status != JobStatus::done) record.spec = kept.spec;
-  kept = std::move(record);
-  if (kept.final()) parts_.erase(id);
-  if (!kept.final() && !kept.spec) return assemble_spec(id);
-  graph_.update(id, kept);
-  deps_.job_updated(id, kept);
+  if (!record.spec && stored.spec && record.status != JobStatus::done) record.spec = stored.spec;
+  stored = std::move(record);
+  if (stored.final()) parts_.erase(id);
+  if (!stored.final() && !stored.spec) return assemble_spec(id);
+  graph_.update(id, stored);
+  deps_.job_updated(id, stored);
 }
 
 void Records::read_part(const wire::Row& row) {
@@ -214,13 +214,13 @@
 }
 
 void Records::send_refresh() {
-  auto asked =
+  auto callbacks =
       std::make_shared<std::vector<std::function<void(bool)>>>(std::exchange(refresh_callbacks_, {}));
   const std::uint64_t since = std::max(refreshed_revision_, deps_.store.watched());
   const Micros sent = deps_.loop.now();
   deps_.store.changes(
       kJobPrefix, since,
-      [this, asked, sent](bool ok, const std::vector<wire::Row>& rows, std::uint64_t revision) {
+      [this, callbacks, sent](bool ok, const std::vector<wire::Row>& rows, std::uint64_t revision) {
         if (ok) {
           for (const auto& r : rows) apply(r);
           refreshed_revision_ = std::max(refreshed_revision_, revision);
@@ -229,7 +229,7 @@
         } else {
           refreshed_revision_ = 0;  // may be too old: the next read starts from the watch
         }
-        for (const auto& f : *asked) f(ok);
+        for (const auto& f : *callbacks) f(ok);
         refreshing_ = !refresh_callbacks_.empty();
         if (refreshing_) deps_.loop.later(kRefreshBatchDelay, [this] { send_refresh(); });
       });
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -51,27 +51,27 @@
   if (progress_budget_ < 1 || !deps_.store.writes_spare()) return;
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     if (!deps_.owned_shares.may_commit(owned)) continue;
-    const auto most = static_cast<std::size_t>(std::max(0.0, progress_budget_));
+    const auto max_rows = static_cast<std::size_t>(std::max(0.0, progress_budget_));
     const auto writes = owned.controller->done_writes(
-        std::min({deps_.store.txn_ops(), kMaxProgressRowsPerCommit, most}), now);
+        std::min({deps_.store.txn_ops(), kMaxProgressRowsPerCommit, max_rows}), now);
     progress_budget_ -= static_cast<double>(writes.size());
     if (writes.empty()) continue;
     std::vector<wire::Guard> guards{{owner_key(share), owned.key_version}};
     std::vector<wire::Write> puts;
-    for (const auto& w : writes) {
-      guards.push_back({progress_key(share, w.job, w.row), w.version});
-      puts.push_back({progress_key(share, w.job, w.row), w.text, {}, false});
+    for (const auto& write : writes) {
+      guards.push_back({progress_key(share, write.job, write.row), write.version});
+      puts.push_back({progress_key(share, write.job, write.row), write.text, {}, false});
     }
     deps_.store.commit(
         std::move(guards), std::move(puts), store::Urgency::background,
         [this, share = share, generation = owned.generation, writes](int code, std::uint64_t revision) {
-          for (const auto& w : writes) {
+          for (const auto& write : writes) {
             OwnedShares::OwnedShare* current = deps_.owned_shares.find(share, generation);
             if (!current) return;
             if (code == 200)
-              current->controller->done_written(w, true, revision);
+              current->controller->done_written(write, true, revision);
             else
-              reread_progress_version(share, generation, w);
+              reread_progress_version(share, generation, write);
           }
         });
   }
@@ -107,13 +107,13 @@
 
 /// The commit may have been executed: the version of the row must be read before the next attempt.
 void ResultWriter::reread_progress_version(int share, std::uint64_t generation,
-                                           const share::ShareController::DoneWrite& w) {
-  deps_.store.get(progress_key(share, w.job, w.row), store::Urgency::read,
-                  [this, share, generation, w](int code, const wire::Row& row) {
+                                           const share::ShareController::DoneWrite& write) {
+  deps_.store.get(progress_key(share, write.job, write.row), store::Urgency::read,
+                  [this, share, generation, write](int code, const wire::Row& row) {
                     OwnedShares::OwnedShare* current = deps_.owned_shares.find(share, generation);
                     if (!current) return;
-                    const std::uint64_t version = code == 200 ? row.version : code == 404 ? 0 : w.version;
-                    current->controller->done_written(w, false, version);
+                    const std::uint64_t version = code == 200 ? row.version : code == 404 ? 0 : write.version;
+                    current->controller->done_written(write, false, version);
                   });
 }
 
@@ -135,32 +135,33 @@
   record.status = JobStatus::done;
   record.finished = deps_.loop.time_of_day();
   std::vector<wire::Write> writes{{kJobPrefix + id, job::record_to_json(record), {}, false}};
-  std::vector<std::string> rest;
+  std::vector<std::string> remaining_keys;
   for (const auto& name : owned.controller->done_keys(id)) {
     const std::string key = kProgressPrefix + std::to_string(share) + "/" + name;
     if (writes.size() < deps_.store.txn_ops())
       writes.push_back({key, nullptr, {}, true});
     else
-      rest.push_back(key);
+      remaining_keys.push_back(key);
   }
-  deps_.store.commit({{owner_key(share), owned.key_version}, {kJobPrefix + id, record.version}},
-                     std::move(writes), store::Urgency::accept,
-                     [this, share, generation, id, record, rest](int code, std::uint64_t revision) mutable {
-                       if (code == 200) {
-                         deps_.records.delete_keys(std::move(rest));
-                         record.version = revision;
-                         record.spec.reset();
-                         deps_.records.delete_parts(id, record);
-                         deps_.records.update_job(id, std::move(record));
-                         deps_.records.publish_graph_changes();
-                         deps_.schedule_tick();  // jobs that waited for it can start at once
-                         return;
-                       }
-                       deps_.loop.later(kFinishRetryDelay, [this, share, generation, id] {
-                         if (auto* current = deps_.owned_shares.find(share, generation))
-                           current->controller->set_committing(id, false);
-                       });
-                     });
+  deps_.store.commit(
+      {{owner_key(share), owned.key_version}, {kJobPrefix + id, record.version}}, std::move(writes),
+      store::Urgency::accept,
+      [this, share, generation, id, record, remaining_keys](int code, std::uint64_t revision) mutable {
+        if (code == 200) {
+          deps_.records.delete_keys(std::move(remaining_keys));
+          record.version = revision;
+          record.spec.reset();
+          deps_.records.delete_parts(id, record);
+          deps_.records.update_job(id, std::move(record));
+          deps_.records.publish_graph_changes();
+          deps_.schedule_tick();  // jobs that waited for it can start at once
+          return;
+        }
+        deps_.loop.later(kFinishRetryDelay, [this, share, generation, id] {
+          if (auto* current = deps_.owned_shares.find(share, generation))
+            current->controller->set_committing(id, false);
+        });
+      });
 }
 
 /// Users are told at once that jobs which need a cancelled job are cancelled too. Their records follow here,
--- a/src/app/result_writer.h
+++ b/src/app/result_writer.h
@@ -40,8 +40,8 @@
   void cancel_dependents();
   bool cancel_dependents(int share, const OwnedShares::OwnedShare& owned);
   void write_progress();
-  void commit_move(share::MachineRecord to_be, int from, std::uint64_t generation, std::uint64_t key_version,
-                   bool maybe_executed);
+  void commit_move(share::MachineRecord machine, int from, std::uint64_t generation,
+                   std::uint64_t key_version, bool maybe_executed);
   void keep_unless_moved(share::MachineRecord machine, int from, std::uint64_t generation);
   void keep_machine(const std::string& machine, int from);
   void read_foreign_chunks();
