--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -134,8 +134,8 @@
   for (auto& [share, owned] : owned_) {
     const int share_index = share;
     share::ShareController& controller = *owned.controller;
-    auto known = [&controller, share_index, now,
-                  taken = owned.acquired_version](const share::MachineRecord& m) {
+    auto add_or_update = [&controller, share_index, now,
+                          taken = owned.acquired_version](const share::MachineRecord& m) {
       if (m.share == share_index) controller.machine_known(m, m.version > taken, now);
     };
     for (const auto& id : changed) {
@@ -144,10 +144,10 @@
     }
     if (!owned.loading) {
       for (const auto& id : changed)
-        if (const auto* m = records().machine(id)) known(*m);
+        if (const auto* m = records().machine(id)) add_or_update(*m);
       continue;
     }
-    for (const auto& [id, m] : records().machines()) known(m);  // a new controller gets all machines
+    for (const auto& [id, m] : records().machines()) add_or_update(m);  // a new controller gets all machines
     owned.loading = false;
     load_progress(share_index, owned.generation);
   }
