--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -1,6 +1,6 @@
-// The leader's errands at the cloud: machine types and prices, the list of machines, rentals and deletions,
-// as its plan (fleet::Provisioner) wants them and the cloud's rate allows. Reaches the world through what it
-// is given.
+// The leader's calls to the cloud API: reading machine types and prices, listing machines, renting and
+// deleting, as the plan of fleet::Provisioner asks and the cloud's rate limit allows. All I/O goes through
+// the Dependencies.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,54 +14,57 @@
 
 namespace aspenwick::app {
 
+/// Runs the provisioner while this node leads, and carries out its actions.
 class Leader {
  public:
-  struct Needs {
+  struct Dependencies {
     std::function<Micros()> now;  // steady clock
     net::Requester& http;
-    /// All shares' waiting work and machines, as fresh as is known.
-    std::function<std::vector<share::ShareReport>()> shares;
-    /// The types were read for the first time and are to be recorded.
-    std::function<void(const std::vector<wire::MachineType>&)> found_types;
-    std::function<void(const fleet::MoveMachine&)> move;
-    /// The cloud has deleted them: their records can go.
-    std::function<void(const std::vector<std::string>&)> deleted;
+    /// Waiting work and machines of all shares, as fresh as known here.
+    std::function<std::vector<share::ShareReport>()> share_states;
+    /// Called with the machine types when they were read for the first time and are to be recorded.
+    std::function<void(const std::vector<wire::MachineType>&)> types_fetched;
+    std::function<void(const fleet::MoveMachine&)> move_machine;
+    /// Called with machines that the cloud has deleted, so that their records can be deleted.
+    std::function<void(const std::vector<std::string>&)> machines_deleted;
   };
+  /// The references must outlive the Leader; `types` is empty until the types are recorded.
   Leader(const wire::PlatformSettings& platform, const fleet::ProvisionerSettings& settings,
          const std::vector<wire::MachineType>& types,
-         const std::map<std::string, share::MachineRecord>& machines, Needs needs)
+         const std::map<std::string, share::MachineRecord>& machines, Dependencies dependencies)
       : platform_(platform),
         settings_(settings),
         types_(types),
         machines_(machines),
-        needs_(std::move(needs)) {}
+        deps_(std::move(dependencies)) {}
 
-  /// Every half second while this node leads with `epoch`.
-  void lead(std::uint64_t epoch);
-  /// This node does not lead, or not any more: what it had planned is forgotten.
-  void rest() { provisioner_.reset(); }
+  /// Called every half second while this node leads with `epoch`.
+  void run(std::uint64_t epoch);
+  /// Called while this node does not lead: discards the provisioner and its plan.
+  void step_down() { provisioner_.reset(); }
 
-  /// The share that a machine which reports without a record should join.
+  /// The share that a machine without a record should join.
   int share_for(const std::string& machine, const std::string& type, int shares);
-  void adopted(const std::string& machine);
+  /// The machine has a record now: it no longer counts as booting.
+  void machine_registered(const std::string& machine);
 
  private:
   void fetch_types();
-  void list_machines(const std::string& after, std::shared_ptr<std::vector<wire::CloudMachine>> sofar);
-  void rent(const fleet::RentMachines& rent);
-  void remove(const fleet::DeleteMachines& gone);
+  void list_machines(const std::string& after, std::shared_ptr<std::vector<wire::CloudMachine>> machines);
+  void rent_machines(const fleet::RentMachines& rent);
+  void delete_machines(const fleet::DeleteMachines& deletion);
 
   const wire::PlatformSettings& platform_;
   fleet::ProvisionerSettings settings_;
   const std::vector<wire::MachineType>& types_;
   const std::map<std::string, share::MachineRecord>& machines_;
-  Needs needs_;
+  Dependencies deps_;
   std::unique_ptr<fleet::Provisioner> provisioner_;
   std::uint64_t epoch_ = 0;
   fleet::RentalIdempotencyKeys request_names_;
   bool fetching_types_ = false, listing_ = false;
-  Micros next_list_ = 0, next_prices_ = 0, refilled_ = 0;
-  double calls_left_ = 1;
+  Micros next_list_ = 0, next_price_fetch_ = 0, last_refill_ = 0;
+  double call_budget_ = 1;  // calls that the rate limit allows now
 };
 
 }  // namespace aspenwick::app
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -1,5 +1,5 @@
-// What nodes tell each other: the gossip of shares, requests for machines, the status of jobs, cancellations
-// ahead of the watch.
+// Communication between nodes: gossip of share states, heartbeats, requests to release machines, job status,
+// and cancellations ahead of the watch.
 #pragma once
 #include <functional>
 #include <map>
@@ -18,75 +18,81 @@
 
 namespace aspenwick::app {
 
+/// Sends and handles the frames between nodes, and keeps what the peers reported last.
 class PeerService {
  public:
-  struct Needs {
+  struct Dependencies {
     net::Loop& loop;
     share::PeerTransport& peers;
     const store::Client& store;
     Records& records;
     OwnedShares& owned_shares;
     std::function<void(const std::string& machine, int to)> move_machine;
-    std::function<void(const share::StatusReply&)> status_told;
-    std::function<void()> poke;
+    std::function<void(const share::StatusReply&)> status_received;
+    std::function<void()> schedule_tick;
   };
   /// `incarnation`: see share::Heartbeats.
-  PeerService(const wire::PlatformSettings& platform, std::uint64_t incarnation, Needs needs)
+  PeerService(const wire::PlatformSettings& platform, std::uint64_t incarnation, Dependencies dependencies)
       : platform_(platform),
-        needs_(std::move(needs)),
+        deps_(std::move(dependencies)),
         heartbeats_(platform.name, incarnation),
         cancellations_(platform.name, incarnation) {}
 
-  /// Every half second, and when another node leads: all that we know of our shares to the leader and to
-  /// those that read no heartbeats, to the others only which they are.
-  void gossip();
-  /// Every quarter of a second: what we say of ourselves.
-  void heartbeat();
-  /// The keys may have changed.
-  void keys_seen();
-  /// We know that a job is cancelled, by a record of that revision; 0: told by a peer, the record is to come.
-  void cancellation_known(const std::string& job, std::uint64_t revision);
-  /// No owner of its share can start a task of this cancelled job any more: users may be told.
-  bool may_confirm(const std::string& job);
-  /// We have committed it: the peers are told ahead of the watch.
-  void cancelled(const std::string& job);
-  void heard(const share::Frame& frame, const share::PeerTransport::Reply& reply);
-  /// All shares as fresh as is known: ours, and others' as told lately.
-  std::vector<share::ShareReport> all_shares() const;
-  /// All shares that are held were told lately, or others have had the time to learn that we lead: a leader
-  /// that knows only its own shares would rent what others have to spare.
-  bool heard_all() const;
-  /// Who says lately that it holds a share; empty: nobody. Where our own view of the keys may be old.
-  std::string told_owner(int share) const;
-  /// As the leader's plan wants it: by us, or by whoever holds the share.
-  void give(const fleet::MoveMachine& move);
+  /// Called every half second and when the leader changes. Sends the full state of the owned shares to the
+  /// leader and to peers that do not read heartbeats; to the others only which shares these are.
+  void send_gossip();
+  /// Called every quarter of a second: sends this node's own state to the peers that read heartbeats.
+  void send_heartbeats();
+  /// The owner keys or the leader key may have changed.
+  void on_keys_changed();
+  /// The job is known to be cancelled, by a record of this revision; 0: a peer said so and the record is
+  /// still to come.
+  void on_cancellation_known(const std::string& job, std::uint64_t revision);
+  /// No owner of the job's share can start a task of this cancelled job any more, so users may be told.
+  bool may_confirm_cancellation(const std::string& job);
+  /// This node has committed the cancellation: tells the peers ahead of the watch.
+  void broadcast_cancellation(const std::string& job);
+  /// Dispatches a frame of a peer; `reply` sends a frame back to it.
+  void handle_frame(const share::Frame& frame, const share::PeerTransport::Reply& reply);
+  /// The states of all shares, as fresh as known here: of owned shares, and of others as reported recently.
+  std::vector<share::ShareReport> all_share_states() const;
+  /// All shares that have an owner were reported recently, or the other nodes have had the time to learn that
+  /// this node leads. A leader that knows only its own shares would rent machines that other shares have to
+  /// spare.
+  bool heard_from_all_shares() const;
+  /// The node that recently reported to own the share; empty: none. For use while this node's own view of the
+  /// keys may be outdated.
+  std::string reported_owner(int share) const;
+  /// Executes a move of the leader's plan, here or by asking the owner of the share.
+  void execute_move(const fleet::MoveMachine& move);
 
  private:
-  struct Told {
+  struct ReportedState {
     std::string node;
-    Micros at = 0;
-    share::ShareReport said;
+    Micros received = 0;
+    share::ShareReport state;
   };
-  void heard(const share::Gossip& gossip);
-  void heard(const share::ReleaseRequest& ask);
-  void heard(const share::StatusRequest& ask, const share::PeerTransport::Reply& reply);
-  void heard(const share::LegacyCancelNotice& tell);
-  void heard(const share::CancelNotice& tell);
-  void heard(const share::Heartbeat& heartbeat);
-  void heartbeat(const std::string& peer);
-  void tell_cancellations(const std::string& peer);
-  share::PeerState state_of_us() const;
-  std::vector<std::string> other_owners(const std::string& job, std::uint64_t revision) const;
+  void handle(const share::Gossip& gossip);
+  void handle(const share::ReleaseRequest& ask);
+  void handle(const share::StatusRequest& ask, const share::PeerTransport::Reply& reply);
+  void handle(const share::LegacyCancelNotice& tell);
+  void handle(const share::CancelNotice& tell);
+  void handle(const share::Heartbeat& heartbeat);
+  void send_heartbeat(const std::string& peer);
+  void send_cancellations(const std::string& peer);
+  share::PeerState own_state() const;
+  std::vector<std::string> possible_owners(const std::string& job, std::uint64_t revision) const;
 
   const wire::PlatformSettings& platform_;
-  Needs needs_;
+  Dependencies deps_;
   share::HeartbeatTracker heartbeats_;
   share::CancellationBroadcast cancellations_;
   share::PendingConfirmations confirmations_;
-  std::map<int, Told> said_;                             // by share, the last word of whoever held it
-  std::map<int, std::pair<std::string, Micros>> holds_;  // who said that it holds it, and when
+  std::map<int, ReportedState> reported_states_;  // by share, as last reported by its owner
+  std::map<int, std::pair<std::string, Micros>>
+      reported_owners_;  // by share: the node that said it owns the share, and when
   std::uint64_t leader_epoch_ = 0;
-  Micros led_since_ = 0;  // since we saw the leader's key as it is
+  Micros leader_since_ = 0;  // when the current leader key was first seen
 };
 
 }  // namespace aspenwick::app
--- a/src/app/result_writer.h
+++ b/src/app/result_writer.h
@@ -1,5 +1,6 @@
-// What owners have decided, into the state service: done-sets at a pace, finished jobs at once, what a
-// cancellation above has ended, and machines that leave a share.
+// Writes what the owners of shares have decided to the state service: progress rows at a limited rate,
+// finished jobs at once, cancellations of jobs that need a cancelled job, and moves of machines between
+// shares.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -14,45 +15,47 @@
 
 namespace aspenwick::app {
 
+/// Commits results, job states and machine moves for all shares that this node owns.
 class ResultWriter {
  public:
-  struct Needs {
+  struct Dependencies {
     net::Loop& loop;
     store::Client& store;
     Records& records;
     OwnedShares& owned_shares;
-    std::function<void()> poke;
+    std::function<void()> schedule_tick;
   };
-  ResultWriter(const wire::PlatformSettings& platform, Needs needs)
-      : platform_(platform), needs_(std::move(needs)) {}
+  ResultWriter(const wire::PlatformSettings& platform, Dependencies dependencies)
+      : platform_(platform), deps_(std::move(dependencies)) {}
 
-  /// After each pass of the owners.
+  /// Called after each tick of the share controllers.
   void tick();
-  /// An empty machine of a share that we hold leaves for share `to`; -1: it is to be deleted. At a pace, so
-  /// it may have to be said again.
+  /// Moves an empty machine of an owned share to share `to`; -1: it is to be deleted. Moves are limited in
+  /// rate, so the call may do nothing and has to be repeated.
   void move_machine(const std::string& machine, int to);
 
  private:
-  void finish_jobs();
-  void finished(int share, std::uint64_t made, const std::string& id);
-  void cancel_doomed();
-  bool cancel_doomed(int share, const OwnedShares::OwnedShare& owned);
-  void write_done();
-  void commit_move(share::MachineRecord to_be, int from, std::uint64_t made, std::uint64_t key_version,
-                   bool unsure);
-  void stay_unless_moved(share::MachineRecord machine, int from, std::uint64_t made);
-  void stay(const std::string& machine, int from);
-  void read_chunks_of_others();
-  void wrote_done(int share, std::uint64_t made, const share::ShareController::DoneWrite& write);
+  void commit_finished_jobs();
+  void commit_finished_job(int share, std::uint64_t generation, const std::string& id);
+  void cancel_dependents();
+  bool cancel_dependents(int share, const OwnedShares::OwnedShare& owned);
+  void write_progress();
+  void commit_move(share::MachineRecord machine, int from, std::uint64_t generation,
+                   std::uint64_t key_version, bool maybe_executed);
+  void keep_unless_moved(share::MachineRecord machine, int from, std::uint64_t generation);
+  void keep_machine(const std::string& machine, int from);
+  void read_foreign_chunks();
+  void reread_progress_version(int share, std::uint64_t generation,
+                               const share::ShareController::DoneWrite& write);
 
   const wire::PlatformSettings& platform_;
-  Needs needs_;
+  Dependencies deps_;
   bool cancelling_ = false;
   std::size_t cancel_batch_ = 8;
   std::set<std::string> moving_;
-  Micros last_done_ = 0, last_move_ = 0, last_read_of_others_ = 0;
-  std::pair<std::string, std::uint32_t> last_chunk_of_others_;  // read, of a job of another share
-  double progress_level_ = 0, move_level_ = 0;
+  Micros last_progress_write_ = 0, last_move_ = 0, last_foreign_read_ = 0;
+  std::pair<std::string, std::uint32_t> last_foreign_chunk_;  // the chunk that was read last
+  double progress_budget_ = 0, move_budget_ = 0;
 };
 
 }  // namespace aspenwick::app
