--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -142,7 +142,7 @@
 void Lesson(benchmark::State& state) {
   place::Rnn rnn;
   std::vector<place::Rnn::Neuron> all;
-  for (std::int64_t i = 0; i < state.range(0); ++i) all.push_back(rnn.join(name(i)));
+  for (std::int64_t i = 0; i < state.range(0); ++i) all.push_back(rnn.add_machine(name(i)));
   std::mt19937 random(1);
   std::lognormal_distribution<double> goal(0, 0.3);
   for (auto _ : state) {
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -245,7 +245,7 @@
                    sum.free.gpus / 1'000'000, sum.total.gpus / 1'000'000);
     spdlog::info("metrics: share {} waiting tasks {}", share, owned.controller->waiting());
     spdlog::info("metrics: share {} attempts freed:{}", share,
-                 counts_text<place::Freed>(owned.controller->freed()));
+                 counts_text<place::FreeReason>(owned.controller->freed()));
     spdlog::info("metrics: share {} starts refused:{}", share,
                  counts_text<place::StartRefusal>(owned.controller->refused()));
     result_metrics(share, *owned.controller);
--- a/src/app/operator_settings.cpp
+++ b/src/app/operator_settings.cpp
@@ -39,16 +39,16 @@
   auto seconds = [&](const std::string& key, Micros& to, double least, double most) {
     known[key] = [=, &to](const YAML::Node& v) { to = from_seconds(number(key, v, least, most)); };
   };
-  real("learner.memory", s.rnn.memory, 0.01, 0.99);
-  real("learner.round_robin", s.rnn.round_robin, 0, 1);
+  real("learner.memory", s.rnn.past_weight, 0.01, 0.99);
+  real("learner.round_robin", s.rnn.round_robin_fraction, 0, 1);
   known["learner.sweeps"] = [&s](const YAML::Node& v) {
-    s.rnn.sweeps = static_cast<int>(number("learner.sweeps", v, 1, 100));
+    s.rnn.max_sweeps = static_cast<int>(number("learner.sweeps", v, 1, 100));
   };
   known["learner.goal"] = [&s](const YAML::Node& v) {
     const auto goal = v.IsScalar() ? v.Scalar() : "";
     if (goal != "relative" && goal != "seconds")
       throw BadSettings("operator settings: out of range: learner.goal (relative or seconds)");
-    s.rnn.normalise = goal == "relative";
+    s.rnn.relative_goals = goal == "relative";
   };
   seconds("renting.idle_after_s", s.renting.idle_after, 0, 3600);
   seconds("renting.idle_gpu_after_s", s.renting.idle_gpu_after, 0, 3600);
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -154,9 +154,9 @@
 void OwnedShares::make_controller(int s, const OwnerKey& key) {
   std::uint64_t& last = last_epochs_[s];
   if (key.epoch < last)
-    return place::violated(place::Invariant::epochs_rise, "share " + std::to_string(s) + ": epoch " +
-                                                              std::to_string(key.epoch) + " after " +
-                                                              std::to_string(last));
+    return place::report_violation(place::Invariant::epochs_rise, "share " + std::to_string(s) + ": epoch " +
+                                                                      std::to_string(key.epoch) + " after " +
+                                                                      std::to_string(last));
   last = key.epoch;
   OwnedShare& owned = owned_[s];
   owned.epoch = key.epoch;
--- a/src/place/decision.cpp
+++ b/src/place/decision.cpp
@@ -9,45 +9,45 @@
 namespace aspenwick::place {
 namespace {
 std::array<std::uint64_t, kInvariants> violation_counts{};
-bool aborts = false;
+bool abort_process = false;
 }  // namespace
 
-std::string_view to_string(Freed why) {
-  switch (why) {
-    case Freed::never_sent:
+std::string_view to_string(FreeReason reason) {
+  switch (reason) {
+    case FreeReason::never_sent:
       return "never sent";
-    case Freed::job_over:
+    case FreeReason::job_over:
       return "job over";
-    case Freed::done:
+    case FreeReason::done:
       return "done";
-    case Freed::exited:
+    case FreeReason::exited:
       return "exited";
-    case Freed::not_listed:
+    case FreeReason::not_listed:
       return "not listed";
-    case Freed::fenced:
+    case FreeReason::fenced:
       return "fenced";
-    case Freed::push_refused:
+    case FreeReason::push_refused:
       return "push refused";
-    case Freed::replaced:
+    case FreeReason::replaced:
       return "replaced";
-    case Freed::runs_elsewhere:
+    case FreeReason::runs_elsewhere:
       return "runs elsewhere";
-    case Freed::lease_expired:
+    case FreeReason::lease_expired:
       return "lease expired";
-    case Freed::new_session:
+    case FreeReason::new_session:
       return "new session";
-    case Freed::left_share:
+    case FreeReason::left_share:
       return "left the share";
-    case Freed::refused:
+    case FreeReason::refused:
       return "start refused";
   }
   return "unknown";
 }
 
-bool runs_again(Freed why) { return why != Freed::job_over && why != Freed::done; }
+bool needs_restart(FreeReason reason) { return reason != FreeReason::job_over && reason != FreeReason::done; }
 
-std::string_view to_string(StartRefusal why) {
-  switch (why) {
+std::string_view to_string(StartRefusal reason) {
+  switch (reason) {
     case StartRefusal::none:
       return "none";
     case StartRefusal::lease_not_valid:
@@ -70,8 +70,8 @@
   return "unknown";
 }
 
-std::string_view to_string(ReleaseRefusal why) {
-  switch (why) {
+std::string_view to_string(ReleaseRefusal reason) {
+  switch (reason) {
     case ReleaseRefusal::none:
       return "none";
     case ReleaseRefusal::share_not_loaded:
@@ -90,21 +90,21 @@
   return "unknown";
 }
 
-bool breaks_invariant(StartRefusal why) {
-  return why == StartRefusal::job_over || why == StartRefusal::task_done ||
-         why == StartRefusal::other_attempt;
+bool breaks_invariant(StartRefusal reason) {
+  return reason == StartRefusal::job_over || reason == StartRefusal::task_done ||
+         reason == StartRefusal::other_attempt;
 }
 
-StartRefusal start_refusal(const ClusterView& view, const Machine& machine, const Placed& attempt,
-                           StartRefusal of_owner) {
-  if (of_owner != StartRefusal::none) return of_owner;
-  if (!machine.accounted) return StartRefusal::machine_not_accounted;
+StartRefusal start_refusal(const ClusterView& view, const Machine& machine, const TaskAttempt& attempt,
+                           StartRefusal owner_refusal) {
+  if (owner_refusal != StartRefusal::none) return owner_refusal;
+  if (!machine.accounted_for) return StartRefusal::machine_not_accounted;
   const Job* job = attempt.job;
   if (!job || job->cancelled || job->finished) return StartRefusal::job_over;
   if (job->done.test(attempt.index)) return StartRefusal::task_done;
   const auto active = job->active.find(attempt.index);
   const bool is_the_active_one = active != job->active.end() && active->second == &machine;
-  if (!is_the_active_one || view.strays.contains({attempt.job_id, attempt.index}))
+  if (!is_the_active_one || view.stray_attempts.contains({attempt.job_id, attempt.index}))
     return StartRefusal::other_attempt;
   return StartRefusal::none;
 }
@@ -121,14 +121,14 @@
   return "unknown";
 }
 
-void violated(Invariant which, const std::string& evidence) {
+void report_violation(Invariant which, const std::string& evidence) {
   ++violation_counts.at(static_cast<std::size_t>(which));
   spdlog::error("invariant violated: {}: {}", to_string(which), evidence);
-  if (aborts) std::abort();
+  if (abort_process) std::abort();
 }
 
 const std::array<std::uint64_t, kInvariants>& violations() { return violation_counts; }
 
-void abort_on_violation(bool on) { aborts = on; }
+void abort_on_violation(bool on) { abort_process = on; }
 
 }  // namespace aspenwick::place
--- a/src/place/decision.h
+++ b/src/place/decision.h
@@ -12,10 +12,10 @@
 
 struct Machine;
 struct ClusterView;
-struct Placed;
+struct TaskAttempt;
 
 /// Why an attempt counts as gone from its machine.
-enum class Freed : std::uint8_t {
+enum class FreeReason : std::uint8_t {
   never_sent,      // it was assigned, and no order to start it had left
   job_over,        // the same, and its job is done or cancelled
   done,            // it exited and its task is done
@@ -30,11 +30,11 @@
   left_share,      // the machine's record is gone, or names another share
   refused,         // its start would have broken an invariant
 };
-inline constexpr std::size_t kFreedReasons = static_cast<std::size_t>(Freed::refused) + 1;
+inline constexpr std::size_t kFreeReasons = static_cast<std::size_t>(FreeReason::refused) + 1;
 /// For log lines and metrics.
-std::string_view to_string(Freed why);
+std::string_view to_string(FreeReason reason);
 /// The task is to be started again.
-bool runs_again(Freed why);
+bool needs_restart(FreeReason reason);
 
 /// Why an assigned attempt may not be started now.
 enum class StartRefusal : std::uint8_t {
@@ -51,12 +51,13 @@
   other_attempt,  // another attempt of the task is on a machine, or may be
 };
 inline constexpr std::size_t kStartRefusals = static_cast<std::size_t>(StartRefusal::other_attempt) + 1;
-std::string_view to_string(StartRefusal why);
+std::string_view to_string(StartRefusal reason);
 /// The attempt, its job or its machine stands against it for good: an invariant would be broken.
-bool breaks_invariant(StartRefusal why);
-/// Judged just before an order leaves. `of_owner`: what keeps the share's owner from starting anything now.
-StartRefusal start_refusal(const ClusterView& view, const Machine& machine, const Placed& attempt,
-                           StartRefusal of_owner);
+bool breaks_invariant(StartRefusal reason);
+/// Judged just before an order leaves. `owner_refusal`: what keeps the share's owner from starting anything
+/// now.
+StartRefusal start_refusal(const ClusterView& view, const Machine& machine, const TaskAttempt& attempt,
+                           StartRefusal owner_refusal);
 
 /// Why a machine may not leave its share, to be moved or given back.
 enum class ReleaseRefusal : std::uint8_t {
@@ -70,7 +71,7 @@
 };
 inline constexpr std::size_t kReleaseRefusals =
     static_cast<std::size_t>(ReleaseRefusal::results_not_recorded) + 1;
-std::string_view to_string(ReleaseRefusal why);
+std::string_view to_string(ReleaseRefusal reason);
 
 /// What must hold whatever happens.
 enum class Invariant : std::uint8_t {
@@ -81,7 +82,7 @@
 inline constexpr std::size_t kInvariants = static_cast<std::size_t>(Invariant::epochs_rise) + 1;
 std::string_view to_string(Invariant which);
 /// Logs the evidence as an error and counts it. The caller refuses the action. In tests the process aborts.
-void violated(Invariant which, const std::string& evidence);
+void report_violation(Invariant which, const std::string& evidence);
 /// Since the process began, by invariant.
 const std::array<std::uint64_t, kInvariants>& violations();
 /// For tests: what calls `violated` ends the process.
--- a/src/place/quota.cpp
+++ b/src/place/quota.cpp
@@ -11,8 +11,8 @@
 bool Quota::within_limit(const Job& j, std::uint32_t tasks) const {
   const wire::Team* t = team(j.spec->team);
   if (!t) return false;
-  auto it = view_.team_use.find(j.spec->team);
-  const Resources after = (it == view_.team_use.end() ? Resources{} : it->second) + j.spec->need * tasks;
+  auto it = view_.team_usage.find(j.spec->team);
+  const Resources after = (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need * tasks;
   return (t->limit.cpus == 0 || j.spec->need.cpus == 0 || after.cpus <= t->limit.cpus) &&
          (t->limit.gpus == 0 || j.spec->need.gpus == 0 || after.gpus <= t->limit.gpus);
 }
@@ -20,8 +20,8 @@
 bool Quota::within_guarantee(const Job& j) const {
   const wire::Team* t = team(j.spec->team);
   if (!t) return false;
-  auto it = view_.team_use.find(j.spec->team);
-  const Resources after = (it == view_.team_use.end() ? Resources{} : it->second) + j.spec->need;
+  auto it = view_.team_usage.find(j.spec->team);
+  const Resources after = (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need;
   // Something must be guaranteed of what the job mainly takes; 0 means no guarantee.
   if ((j.spec->need.gpus > 0 ? t->guaranteed.gpus : t->guaranteed.cpus) == 0) return false;
   return (t->guaranteed.cpus == 0 || after.cpus <= t->guaranteed.cpus) &&
@@ -29,11 +29,11 @@
 }
 
 /// Another team's work that it runs beyond its own guarantee, of the kind that is wanted.
-bool Quota::borrowed(const Job& j, const Placed& p) const {
+bool Quota::is_borrowed(const Job& j, const TaskAttempt& p) const {
   if (p.team.empty() || p.team == j.spec->team) return false;
   const wire::Team* t = team(p.team);
-  auto it = view_.team_use.find(p.team);
-  if (!t || it == view_.team_use.end()) return false;
+  auto it = view_.team_usage.find(p.team);
+  if (!t || it == view_.team_usage.end()) return false;
   return j.spec->need.gpus > 0 ? p.need.gpus > 0 && it->second.gpus > t->guaranteed.gpus
                                : it->second.cpus > t->guaranteed.cpus;
 }
--- a/src/place/quota.h
+++ b/src/place/quota.h
@@ -14,7 +14,7 @@
   const wire::Team* team(const std::string& name) const;
   bool within_limit(const Job& j, std::uint32_t tasks) const;
   bool within_guarantee(const Job& j) const;
-  bool borrowed(const Job& j, const Placed& p) const;
+  bool is_borrowed(const Job& j, const TaskAttempt& p) const;
 
  private:
   const wire::PlatformSettings& platform_;
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -52,7 +52,7 @@
       lookup_(std::move(lookup)),
       held_since_(now),
       placement_(platform, types, view_, settings.rnn, epoch) {
-  for (const auto& z : platform.zones) zones_.push_back(view_.zone(z));
+  for (const auto& z : platform.zones) zones_.push_back(view_.zone_index(z));
 }
 
 Micros ShareController::surely_lapsed(Micros answered) const {
@@ -62,13 +62,13 @@
 std::uint64_t ShareController::floor(const Machine& m) const {
   return std::max(epoch_, m.record.epoch) << place::kEpochShift;
 }
-std::uint64_t ShareController::token(const Machine& m) const { return floor(m) + m.bump; }
+std::uint64_t ShareController::token(const Machine& m) const { return floor(m) + m.token_offset; }
 
 void ShareController::raise_epoch(std::uint64_t epoch) {
   if (epoch <= epoch_) return;
   epoch_ = epoch;
   placement_.raise_epoch(epoch);
-  view_.gained();
+  view_.note_new_capacity();
 }
 
 // ---------------------------------------------------------------- events
@@ -85,8 +85,8 @@
     for (const auto& [index, m] : active) {
       auto p = m->tasks.find({id, index});
       if (p == m->tasks.end()) continue;
-      if (p->second.phase == Phase::assigned)
-        view_.drop(*m, p, now, Freed::job_over);
+      if (p->second.phase == AttemptPhase::assigned)
+        view_.free_attempt(*m, p, now, FreeReason::job_over);
       else
         view_.halt(p->second, 0);
     }
@@ -112,13 +112,13 @@
   j->ready = j->submitted;
   j->rank = record.spec->rank;
   if (record.spec->deadline) j->finish_by = j->submitted + *record.spec->deadline;
-  j->waits_since = now;
-  j->fresh = fresh;
+  j->waiting_since = now;
+  j->accepted_since_takeover = fresh;
   note_gpu_job(*record.spec);
   j->done = DoneSet(record.spec->tasks);
   j->recorded = j->recorded_whole = j->done;
   Job& known = *view_.jobs.emplace(id, std::move(j)).first->second;
-  ++view_.changes;
+  ++view_.change_count;
   const auto rows = rows_before_jobs_.extract(id);
   if (rows)
     for (const auto& [row, read] : rows.mapped()) load_done(id, row, read.text, read.version);
@@ -131,10 +131,10 @@
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
-  ++view_.changes;
+  ++view_.change_count;
   if (j.rank != course.rank) {
     j.rank = course.rank;
-    for (const auto& [index, m] : j.active) m->load_stale = true;
+    for (const auto& [index, m] : j.active) m->task_summary_stale = true;
   }
   j.ready = std::max(j.submitted, now - std::max<Micros>(0, time_of_day - course.ready));
   j.finish_by.reset();
@@ -148,7 +148,7 @@
 
 void ShareController::machine_known(const MachineRecord& record, bool handed_empty, Micros now) {
   const bool added = !view_.machines.contains(record.id);
-  Machine& m = view_.join(record);
+  Machine& m = view_.add_machine(record);
   if (!added) return;
   for (std::size_t i = 0; i < types_.size(); ++i)
     if (types_[i].name == record.type) m.type = &types_[i], m.type_index = i;
@@ -156,19 +156,19 @@
   // A machine recorded before our takeover may hold anything until it reports under our token, or until the
   // lease that the former owner could last have renewed has lapsed. One that joins later was handed over
   // empty.
-  m.handed_empty = handed_empty;
-  m.lapse_at = surely_lapsed(handed_empty ? now : std::max(now, renewable_until_));
+  m.handed_over_empty = handed_empty;
+  m.lease_expires_at = surely_lapsed(handed_empty ? now : std::max(now, renewable_until_));
   m.idle_since = now;
   m.gpu_idle_since = now;
-  m.neuron = placement_.rnn().join(record.id);
+  m.neuron = placement_.rnn().add_machine(record.id);
 }
 
 void ShareController::machine_gone(const std::string& id, Micros now) {
   auto it = view_.machines.find(id);
   if (it == view_.machines.end()) return;
-  lapse(it->second, now, Freed::left_share);
-  placement_.rnn().leave(it->second.neuron);
-  view_.leave(it);
+  lapse(it->second, now, FreeReason::left_share);
+  placement_.rnn().remove_machine(it->second.neuron);
+  view_.remove_machine(it);
   check_rebuilt(now);
 }
 
@@ -177,7 +177,7 @@
 void ShareController::check_rebuilt(Micros) {
   if (view_.rebuilt || !loaded_) return;
   for (const auto& [id, m] : view_.machines)
-    if ((!m.accounted && !m.handed_empty) || awaits_records(m)) return;
+    if ((!m.accounted_for && !m.handed_over_empty) || awaits_records(m)) return;
   view_.rebuilt = true;
   spdlog::info("share {}: rebuilt, {} machines, {} jobs", settings_.share, view_.machines.size(),
                view_.jobs.size());
@@ -189,8 +189,8 @@
   said_silent_ = true;
   std::size_t silent = 0;
   const Machine* first = nullptr;
-  for (const Machine* m : view_.all)
-    if (!m->accounted && !m->handed_empty && ++silent == 1) first = m;
+  for (const Machine* m : view_.machines_by_id)
+    if (!m->accounted_for && !m->handed_over_empty && ++silent == 1) first = m;
   if (first)
     spdlog::info("share {}: {} of {} machines have not answered, {} ({}, {}{}) ...", settings_.share, silent,
                  view_.machines.size(), first->record.id, first->record.type, first->record.zone,
@@ -201,20 +201,21 @@
   if (!loaded_) return false;
   say_silent(now);
   attribute_open(now);
-  for (Machine* at : view_.all) {
+  for (Machine* at : view_.machines_by_id) {
     Machine& m = *at;
-    if (now >= m.lapse_at && (m.up || !m.accounted)) {
-      lapse(m, now, Freed::lease_expired);
+    if (now >= m.lease_expires_at && (m.up || !m.accounted_for)) {
+      lapse(m, now, FreeReason::lease_expired);
       m.up = false;
-      m.accounted = true;
-      view_.gained();
+      m.accounted_for = true;
+      view_.note_new_capacity();
       check_rebuilt(now);
     }
     note_result_wait(m, now);
-    if (m.drain_until > 0 && now >= m.drain_until) m.drain_until = 0, m.drain_to = -2, view_.gained();
-    if (m.taken_at)  // save what can be saved before the machine goes
+    if (m.drain_until > 0 && now >= m.drain_until)
+      m.drain_until = 0, m.drain_target = -2, view_.note_new_capacity();
+    if (m.reclaim_at)  // save what can be saved before the machine goes
       for (auto& [key, p] : m.tasks)
-        if (p.job && !p.halting && p.job->spec->checkpoint_every > 0 && p.phase != Phase::assigned) {
+        if (p.job && !p.halting && p.job->spec->checkpoint_every > 0 && p.phase != AttemptPhase::assigned) {
           if (p.job->spec->shape == Shape::gang)
             view_.stop_gang(*p.job, p.job->spec->save_time);
           else
@@ -229,10 +230,10 @@
   // nothing changed. What only time brings (room no longer held, a deadline that presses) is looked for now
   // and then.
   const bool due = now - looked_ >= kLookAgain || now < looked_;
-  if (due) looked_ = now, view_.gained();
-  if (!due && placed_at_ == view_.changes) return false;
-  const bool whole = placement_.place_all(now, kMostPlaced);
-  if (whole) placed_at_ = view_.changes;
+  if (due) looked_ = now, view_.note_new_capacity();
+  if (!due && placed_at_ == view_.change_count) return false;
+  const bool whole = placement_.place_waiting_tasks(now, kMostPlaced);
+  if (whole) placed_at_ = view_.change_count;
   return !whole;
 }
 
@@ -255,16 +256,16 @@
   auto it = view_.machines.find(machine);
   if (it == view_.machines.end() || !loaded_ || !it->second.up) return;
   Machine& m = it->second;
-  if (m.drain_until > now && (rank != Rank::low || m.drain_to != to)) return;
+  if (m.drain_until > now && (rank != Rank::low || m.drain_target != to)) return;
   if (rank == Rank::low) {  // nothing ranks below: what runs may finish, nothing more is placed
-    m.drain_to = to;
+    m.drain_target = to;
     m.drain_until = now + 2 * kDrainFor;
     return;
   }
   for (const auto& [key, p] : m.tasks)
     if (!p.job || p.job->rank >= rank) return;
   spdlog::info("machine {}: {} tasks stopped to give it to share {}", machine, m.tasks.size(), to);
-  m.drain_to = to;
+  m.drain_target = to;
   m.drain_until = now + kDrainFor;
   for (auto& [key, p] : m.tasks) {
     const Micros grace = p.job->spec->checkpoint_every > 0 ? p.job->spec->save_time : 0;
@@ -278,14 +279,14 @@
 std::vector<std::pair<std::string, int>> ShareController::drained() const {
   std::vector<std::pair<std::string, int>> out;
   for (const auto& [id, m] : view_.machines)
-    if (m.drain_until > 0 && m.drain_to >= -1 && release_refusal(m) == ReleaseRefusal::none)
-      out.emplace_back(id, m.drain_to);
+    if (m.drain_until > 0 && m.drain_target >= -1 && release_refusal(m) == ReleaseRefusal::none)
+      out.emplace_back(id, m.drain_target);
   return out;
 }
 
 void ShareController::keep(const std::string& machine) {
   if (auto it = view_.machines.find(machine); it != view_.machines.end())
-    it->second.leaving = false, view_.gained();
+    it->second.leaving = false, view_.note_new_capacity();
 }
 
 }  // namespace aspenwick::share
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -95,7 +95,7 @@
   /// Every controller reads rows of single units: what only those hold may be forgotten by the workers.
   void set_all_read_units(bool on) { all_read_units_ = on; }
   void loaded(Micros now);  // all jobs, done-sets and machines of the share were told
-  /// `handed_empty`: recorded after our takeover, so it was handed over empty.
+  /// `handed_over_empty`: recorded after our takeover, so it was handed over empty.
   void machine_known(const MachineRecord& record, bool handed_empty, Micros now);
   void machine_gone(const std::string& id, Micros now);
 
@@ -181,11 +181,11 @@
   bool has_machine(const std::string& id) const { return view_.machines.contains(id); }
   std::uint64_t epoch() const { return epoch_; }
   /// Attempts numbered in this epoch; from place::kAttemptsPerEpoch on nothing is started.
-  std::uint64_t attempts() const { return placement_.attempts(); }
+  std::uint64_t attempts() const { return placement_.attempts_in_epoch(); }
   /// The share is held on under a higher epoch, recorded as ours without a moment in between.
   void raise_epoch(std::uint64_t epoch);
   /// Attempts that counted as gone since the share was taken, by reason.
-  const std::array<std::uint64_t, place::kFreedReasons>& freed() const { return view_.freed; }
+  const std::array<std::uint64_t, place::kFreeReasons>& freed() const { return view_.freed_counts; }
   /// Passes and orders that were refused since the share was taken, by reason.
   const std::array<std::uint64_t, place::kStartRefusals>& refused() const { return refused_; }
   const place::Rnn& rnn() const { return placement_.rnn(); }
@@ -200,12 +200,12 @@
  private:
   using Machine = place::Machine;
   using Job = place::Job;
-  using Phase = place::Phase;
-  using Placed = place::Placed;
-  using Freed = place::Freed;
+  using AttemptPhase = place::AttemptPhase;
+  using TaskAttempt = place::TaskAttempt;
+  using FreeReason = place::FreeReason;
   using ReleaseRefusal = place::ReleaseRefusal;
   using TaskKey = place::TaskKey;
-  using HeldResult = place::HeldResult;
+  using UnrecordedResult = place::UnrecordedResult;
 
   /// How a worker's own report relates to what is known of the machine.
   enum class ReportOrder : std::uint8_t {
@@ -216,25 +216,26 @@
   static ReportOrder order_of(const Machine& m, const wire::WorkerReport& r);
   std::uint64_t token(const Machine& m) const;
   bool apply(Machine& m, const wire::WorkerReport& r, bool own_report, Micros now);
-  void lapse(Machine& m, Micros now, Freed why);
+  void lapse(Machine& m, Micros now, FreeReason why);
   void doubt(Machine& m, Micros now, const char* why);
-  void task_done(Job& j, Machine& m, const Placed& p, Micros now);
+  void task_done(Job& j, Machine& m, const TaskAttempt& p, Micros now);
   void task_failed(Job& j, Machine& m, Micros now);
   /// What the records say of a job that a machine reports.
   enum class JobStanding : std::uint8_t { planned, over, of_another_share, not_known };
   JobStanding standing_of(const std::string& job) const;
-  bool may_have_a_job(const Placed& p) const;
+  bool may_have_a_job(const TaskAttempt& p) const;
   bool awaits_records(const Machine& m) const;
   void adopt(Machine& m, const wire::TaskReport& t, Micros now);
-  void account_for(Machine& m, Placed p, Micros now);
-  void account_for_planned(Job& j, Machine& m, Placed p, Micros now);
+  void account_for(Machine& m, TaskAttempt p, Micros now);
+  void account_for_planned(Job& j, Machine& m, TaskAttempt p, Micros now);
   void attribute(Job& j, Micros now);
   void attribute_open(Micros now);
   static bool set_done(Job& j, std::uint32_t index);
   void task_exited(Machine& m, const wire::TaskReport& t, Micros now);
   Micros surely_lapsed(Micros answered) const;
   std::uint64_t floor(const Machine& m) const;
-  bool start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator at, StartRefusal of_owner, Micros now);
+  bool start_allowed(Machine& m, std::map<TaskKey, TaskAttempt>::iterator at, StartRefusal of_owner,
+                     Micros now);
   void count_refusal(StartRefusal why) { ++refused_.at(static_cast<std::size_t>(why)); }
   std::vector<Order> take_orders(Machine& m, bool by_push, std::uint64_t answer_seq, StartRefusal of_owner,
                                  Micros now);
@@ -245,8 +246,8 @@
   bool surely_recorded(const Job& j, std::uint32_t index) const;
   bool result_needed(const TaskKey& task, Micros since) const;
   bool holds_needed_result(const Machine& m) const;
-  void keep_or_forget(Machine& m, const wire::TaskReport& t, const std::map<TaskKey, HeldResult>& before,
-                      Micros now);
+  void keep_or_forget(Machine& m, const wire::TaskReport& t,
+                      const std::map<TaskKey, UnrecordedResult>& before, Micros now);
   void note_result_wait(Machine& m, Micros now);
   ReleaseRefusal release_refusal(const Machine& m) const;
   /// How much depends on a job's rows being written soon.
--- a/src/share/share_controller_answers.cpp
+++ b/src/share/share_controller_answers.cpp
@@ -19,7 +19,7 @@
   std::uint32_t running = 0;
   for (const auto& [index, machine] : it->second->active) {
     auto p = machine->tasks.find({id, index});
-    if (p != machine->tasks.end() && p->second.phase == Phase::running) ++running;
+    if (p != machine->tasks.end() && p->second.phase == AttemptPhase::running) ++running;
   }
   return std::pair{it->second->done.count(), running};
 }
@@ -38,8 +38,8 @@
       continue;
     std::int64_t waiting = j->waiting();
     const wire::Team* t = placement_.quota().team(j->spec->team);
-    auto use = view_.team_use.find(j->spec->team);
-    if (t && use != view_.team_use.end()) {
+    auto use = view_.team_usage.find(j->spec->team);
+    if (t && use != view_.team_usage.end()) {
       if (t->limit.gpus > 0 && j->spec->need.gpus > 0)
         waiting = std::min(waiting, (t->limit.gpus - use->second.gpus) / j->spec->need.gpus);
       if (t->limit.cpus > 0 && j->spec->need.cpus > 0)
@@ -58,22 +58,23 @@
     if (j->spec->spread || j->spec->one_zone) {
       d.per_zone = j->spec->spread ? (j->spec->tasks + 1) / 2 : 0;
       for (std::size_t z = 0; z < platform_.zones.size() && z < 32; ++z) {
-        const int n = j->tasks_in(zones_[z]);
+        const int n = j->active_in_zone(zones_[z]);
         const bool closed =
             j->spec->spread ? n >= static_cast<int>(d.per_zone) : !j->active.empty() && n == 0;
         if (closed) d.closed_zones |= 1U << z;
       }
     }
-    d.rank = placement_.rank_now(*j, now);
+    d.rank = placement_.effective_rank(*j, now);
     d.shape = j->spec->shape;
     d.spot = j->spec->spot;
     d.waiting = static_cast<std::uint32_t>(waiting);
     d.running = static_cast<std::uint32_t>(j->active.size());
     d.slack_ms = static_cast<std::uint32_t>(
         std::clamp<Micros>(placement_.slack(*j, now) / kMillisecond, 0, 3'600'000));
-    d.guess_ms = static_cast<std::uint32_t>(std::clamp(place::Placement::run_time(*j) * 1000, 0.0, 3.6e6));
+    d.guess_ms =
+        static_cast<std::uint32_t>(std::clamp(place::Placement::expected_run_seconds(*j) * 1000, 0.0, 3.6e6));
     d.one_zone = j->spec->one_zone;
-    d.plain_only = placement_.await_plain(*j, now);
+    d.plain_only = placement_.waits_for_non_gpu_machine(*j, now);
     d.passed_over = j->passed_over, d.any_room = j->any_room;
     // Jobs that are alike are told as one: with ninety services waiting the rest would not be heard of.
     if (d.shape == wire::Shape::service) {
@@ -106,27 +107,27 @@
 
 std::vector<MachineState> ShareController::machine_states(Micros now) const {
   std::vector<MachineState> out;
-  out.reserve(view_.all.size());
-  for (const Machine* at : view_.all) {
+  out.reserve(view_.machines_by_id.size());
+  for (const Machine* at : view_.machines_by_id) {
     const Machine& m = *at;
     MachineState s;
     s.id = m.record.id;
     s.free = m.free;
     s.suspect = m.suspect_until > now;
-    s.usable = m.up && m.accounted && !m.leaving && !m.taken_at && !s.suspect && m.drain_until <= now &&
-               !m.hearing.in_doubt() && m.unattributed == 0;
+    s.usable = m.up && m.accounted_for && !m.leaving && !m.reclaim_at && !s.suspect && m.drain_until <= now &&
+               !m.delivery.in_doubt() && m.unattributed == 0;
     s.empty = release_refusal(m) == ReleaseRefusal::none;
     // What reports but hears nothing is as good as gone, once nothing can be on it.
-    s.lapsed = m.accounted && (!m.up || m.hearing.doubted_for(now) > platform_.worker_lease);
+    s.lapsed = m.accounted_for && (!m.up || m.delivery.in_doubt_for(now) > platform_.worker_lease);
     s.idle_ms =
         static_cast<std::uint32_t>(std::clamp<Micros>((now - m.idle_since) / kMillisecond, 0, 3'600'000));
     if (!m.tasks.empty()) s.idle_ms = 0;
-    if (m.type && placement_.gpu_wanted(m.type_index)) {  // idle while no GPU task is there
-      s.idle_ms = m.load().gpus ? 0
-                                : static_cast<std::uint32_t>(std::clamp<Micros>(
-                                      (now - m.gpu_idle_since) / kMillisecond, 0, 3'600'000));
+    if (m.type && placement_.usable_by_gpu_jobs(m.type_index)) {  // idle while no GPU task is there
+      s.idle_ms = m.task_summary().gpus ? 0
+                                        : static_cast<std::uint32_t>(std::clamp<Micros>(
+                                              (now - m.gpu_idle_since) / kMillisecond, 0, 3'600'000));
     }
-    s.top_rank = m.load().top;
+    s.top_rank = m.task_summary().highest_rank;
     out.push_back(std::move(s));
   }
   return out;
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -23,31 +23,31 @@
 }
 
 /// Its job's record may still be on its way to us, or is there and not whole.
-bool ShareController::may_have_a_job(const Placed& p) const {
+bool ShareController::may_have_a_job(const TaskAttempt& p) const {
   const JobRecord* record = lookup_(p.job_id);
-  return records_as_of_ <= p.started || (record && !record->spec);
+  return records_as_of_ <= p.started_at || (record && !record->spec);
 }
 
 /// One of its attempts may be of any team.
 bool ShareController::awaits_records(const Machine& m) const {
   return m.unattributed > 0 && std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
-           return t.second.unattributed && records_as_of_ <= t.second.started;
+           return t.second.unattributed && records_as_of_ <= t.second.started_at;
          });
 }
 
 /// An attempt that the machine reports and its account doesn't have.
 void ShareController::adopt(Machine& m, const TaskReport& t, Micros now) {
-  Placed p;
+  TaskAttempt p;
   p.job_id = t.job;
   p.index = t.index;
   p.attempt = t.attempt;
-  p.phase = t.state == TaskState::running ? Phase::running : Phase::present;
+  p.phase = t.state == TaskState::running ? AttemptPhase::running : AttemptPhase::reported;
   p.fetching = t.state == TaskState::fetching;
-  p.started = now;
+  p.started_at = now;
   account_for(m, std::move(p), now);
 }
 
-void ShareController::account_for(Machine& m, Placed p, Micros now) {
+void ShareController::account_for(Machine& m, TaskAttempt p, Micros now) {
   const JobRecord* record = lookup_(p.job_id);
   switch (standing_of(p.job_id)) {
     case JobStanding::planned: {
@@ -71,13 +71,13 @@
       view_.halt(p, 0);
       break;
   }
-  view_.add(m, std::move(p));
+  view_.add_attempt(m, std::move(p));
 }
 
-void ShareController::account_for_planned(Job& j, Machine& m, Placed p, Micros now) {
+void ShareController::account_for_planned(Job& j, Machine& m, TaskAttempt p, Micros now) {
   if (p.index >= j.spec->tasks) {  // no task of it
     view_.halt(p, 0);
-    return view_.add(m, std::move(p));
+    return view_.add_attempt(m, std::move(p));
   }
   p.need = j.spec->need;
   p.team = j.spec->team;
@@ -85,8 +85,8 @@
     // Meant for another machine and not sent yet: what runs stays, or the task would run twice.
     Machine& other = *a->second;
     auto q = other.tasks.find({p.job_id, p.index});
-    if (q != other.tasks.end() && q->second.phase == Phase::assigned)
-      view_.drop(other, q, now, Freed::runs_elsewhere);
+    if (q != other.tasks.end() && q->second.phase == AttemptPhase::assigned)
+      view_.free_attempt(other, q, now, FreeReason::runs_elsewhere);
   }
   if (j.active.contains(p.index)) {
     view_.halt(p, 0);
@@ -95,9 +95,9 @@
     if (j.cancelled || j.finished || j.done.test(p.index))
       view_.halt(p, 0);  // over, but it must be seen to go
     else if (!p.fetching)
-      m.used_image(*j.spec);
+      m.note_image_use(*j.spec);
   }
-  view_.add(m, std::move(p));
+  view_.add_attempt(m, std::move(p));
 }
 
 /// A job that is planned from now on: what its machines reported before. Results first, so that a done task's
@@ -106,12 +106,12 @@
   const auto of_job = [&j](const auto& entries, auto it) {
     return it != entries.end() && it->first.first == j.id;
   };
-  for (const Machine* m : view_.all)
+  for (const Machine* m : view_.machines_by_id)
     for (auto it = m->results.lower_bound({j.id, 0}); of_job(m->results, it); ++it)
       if (it->first.second < j.spec->tasks && set_done(j, it->first.second))
         ++attribution_.attributed_results;
   if (view_.unattributed == 0) return;
-  for (Machine* m : view_.all) {
+  for (Machine* m : view_.machines_by_id) {
     if (m->unattributed == 0) continue;
     for (auto it = m->tasks.lower_bound({j.id, 0}); of_job(m->tasks, it);) {
       auto here = it++;
@@ -126,10 +126,10 @@
 /// What is over, another share's, or no job's by records read since.
 void ShareController::attribute_open(Micros now) {
   if (view_.unattributed == 0) return;
-  for (Machine* m : view_.all) {
+  for (Machine* m : view_.machines_by_id) {
     for (auto it = m->tasks.begin(); m->unattributed > 0 && it != m->tasks.end();) {
       auto here = it++;
-      const Placed& p = here->second;
+      const TaskAttempt& p = here->second;
       if (!p.unattributed) continue;
       const bool open = standing_of(p.job_id) == JobStanding::not_known;
       if (open && may_have_a_job(p)) continue;
@@ -143,9 +143,9 @@
 ShareController::Attribution ShareController::attribution() const {
   Attribution now = attribution_;
   now.open_attempts = view_.unattributed;
-  for (const Machine* m : view_.all)
+  for (const Machine* m : view_.machines_by_id)
     for (const auto& [task, result] : m->results)
-      if (standing_of(task.first) == JobStanding::not_known && result_needed(task, result.since))
+      if (standing_of(task.first) == JobStanding::not_known && result_needed(task, result.first_reported))
         ++now.open_results;
   return now;
 }
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -20,20 +20,20 @@
 
 /// The last look before an order to start leaves. What would break an invariant is refused and not tried
 /// again.
-bool ShareController::start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator at, StartRefusal of_owner,
-                                    Micros now) {
+bool ShareController::start_allowed(Machine& m, std::map<TaskKey, TaskAttempt>::iterator at,
+                                    StartRefusal of_owner, Micros now) {
   using place::Invariant;
   const StartRefusal why = place::start_refusal(view_, m, at->second, of_owner);
   if (why == StartRefusal::none) return true;
   count_refusal(why);
   if (!place::breaks_invariant(why)) return false;
-  const Placed& p = at->second;
+  const TaskAttempt& p = at->second;
   const auto which =
       why == StartRefusal::other_attempt ? Invariant::one_attempt_of_a_task : Invariant::done_is_final;
-  place::violated(which, p.job_id + "/" + std::to_string(p.index) + " try " + std::to_string(p.attempt) +
-                             " on " + m.record.id + ", epoch " + std::to_string(epoch_) + ": " +
-                             std::string(place::to_string(why)));
-  view_.drop(m, at, now, Freed::refused);
+  place::report_violation(which, p.job_id + "/" + std::to_string(p.index) + " try " +
+                                     std::to_string(p.attempt) + " on " + m.record.id + ", epoch " +
+                                     std::to_string(epoch_) + ": " + std::string(place::to_string(why)));
+  view_.free_attempt(m, at, now, FreeReason::refused);
   return false;
 }
 
@@ -43,21 +43,21 @@
   bool launches = false;
   for (auto it = m.tasks.begin(); it != m.tasks.end() && out.size() < kMaxOrders;) {
     auto here = it++;
-    Placed& p = here->second;
+    TaskAttempt& p = here->second;
     if (p.halting) {
-      if (p.phase == Phase::assigned) {
-        view_.drop(m, here, now, Freed::never_sent);
-      } else if (!by_push || now - p.halt_sent >= kRepeatHalt) {
-        p.halt_sent = now;
+      if (p.phase == AttemptPhase::assigned) {
+        view_.free_attempt(m, here, now, FreeReason::never_sent);
+      } else if (!by_push || now - p.halt_sent_at >= kRepeatHalt) {
+        p.halt_sent_at = now;
         out.push_back({Order::Verb::halt, p.job_id, p.index, p.attempt, p.grace});
       }
       continue;
     }
-    if (p.phase != Phase::assigned || !start_allowed(m, here, of_owner, now)) continue;
-    p.phase = Phase::sent;
-    p.by_push = by_push;
+    if (p.phase != AttemptPhase::assigned || !start_allowed(m, here, of_owner, now)) continue;
+    p.phase = AttemptPhase::sent;
+    p.sent_by_push = by_push;
     p.answer_seq = answer_seq;
-    p.started = now;
+    p.started_at = now;
     launches = true;
     out.push_back({Order::Verb::launch, p.job_id, p.index, p.attempt, 0});
     spdlog::debug("start {}/{} try {} on {} session {} token {} by {}", p.job_id, p.index, p.attempt,
@@ -69,14 +69,14 @@
   // has forgotten: so it forgets under a higher token than any start was pushed under. Not while a push is on
   // its way, which would be refused; the next report tells again what it could forget.
   const bool fence = m.launch_token == token(m);
-  if (!m.forgets.empty() && !(fence && m.pushing)) {
-    if (fence) ++m.bump;
-    for (const auto& f : m.forgets) {
+  if (!m.pending_forgets.empty() && !(fence && m.push_in_flight)) {
+    if (fence) ++m.token_offset;
+    for (const auto& f : m.pending_forgets) {
       if (out.size() >= kMaxOrders) break;
       out.push_back(f);
     }
   }
-  m.forgets.clear();
+  m.pending_forgets.clear();
   if (launches && by_push) m.launch_token = token(m);
   return out;
 }
@@ -85,26 +85,27 @@
                                                            StartRefusal of_owner) {
   std::vector<Push> out;
   if (!loaded_) return out;
-  for (auto it = view_.to_order.begin(); it != view_.to_order.end() && out.size() < most;) {
+  for (auto it = view_.machines_to_contact.begin();
+       it != view_.machines_to_contact.end() && out.size() < most;) {
     Machine& m = **it;
-    bool wanted = (!m.accounted && now < m.lapse_at) || m.hearing.in_doubt();
-    bool later = !m.accounted || m.hearing.in_doubt();
+    bool wanted = (!m.accounted_for && now < m.lease_expires_at) || m.delivery.in_doubt();
+    bool later = !m.accounted_for || m.delivery.in_doubt();
     for (const auto& [key, p] : m.tasks) {
       if (wanted) break;
-      wanted = p.phase == Phase::assigned || (p.halting && now - p.halt_sent >= kRepeatHalt);
+      wanted = p.phase == AttemptPhase::assigned || (p.halting && now - p.halt_sent_at >= kRepeatHalt);
       later = later || p.halting;
     }
-    it = wanted || later ? std::next(it) : view_.to_order.erase(it);
-    if (!wanted || m.pushing || now < m.push_again || m.record.address.empty()) continue;
-    if (m.accounted && !m.up) continue;
+    it = wanted || later ? std::next(it) : view_.machines_to_contact.erase(it);
+    if (!wanted || m.push_in_flight || now < m.next_push_at || m.record.address.empty()) continue;
+    if (m.accounted_for && !m.up) continue;
     Push push{m.record.id, m.record.address, 0, m.session, {}};
     // To a machine that pushes don't reach, starts go with its reports: pushed first and fenced each time, a
     // task would never start where only workers can reach nodes (tests/node_test.cpp). Such a push asks
     // whether they reach it again, and repeats halts.
     const StartRefusal refusal = m.pushes_lost < kGivenUp ? of_owner : StartRefusal::pushes_lost;
-    if (m.accounted) push.orders = take_orders(m, true, 0, refusal, now);
+    if (m.accounted_for) push.orders = take_orders(m, true, 0, refusal, now);
     push.token = token(m);  // the orders may take a higher one
-    m.pushing = true;
+    m.push_in_flight = true;
     out.push_back(std::move(push));
   }
   return out;
@@ -114,21 +115,21 @@
   auto it = view_.machines.find(machine);
   if (it == view_.machines.end()) return;
   Machine& m = it->second;
-  m.pushing = false;
+  m.push_in_flight = false;
   const int lost = std::exchange(m.pushes_lost, status == 200 || status == 409 ? 0 : m.pushes_lost + 1);
   if ((status == 200 || status == 409) && report) {
     for (auto p = m.tasks.begin(); p != m.tasks.end();) {
       auto here = p++;
-      Placed& x = here->second;
-      if (x.phase != Phase::sent || !x.by_push || x.fence != 0) continue;
+      TaskAttempt& x = here->second;
+      if (x.phase != AttemptPhase::sent || !x.sent_by_push || x.fence_token != 0) continue;
       if (status == 409)
-        view_.drop(m, here, now, Freed::push_refused);  // nothing was executed
+        view_.free_attempt(m, here, now, FreeReason::push_refused);  // nothing was executed
       else
-        x.by_push = false, x.answer_seq = 0;  // executed: the next newer report shows it
+        x.sent_by_push = false, x.answer_seq = 0;  // executed: the next newer report shows it
     }
-    if (m.hearing.shown(report->token, 0)) view_.gained(m);
+    if (m.delivery.on_token_seen(report->token, 0)) view_.note_new_capacity(m);
     apply(m, *report, false, now);
-    if (status == 409) m.push_again = m.accounted ? now + kSecond / 2 : now;
+    if (status == 409) m.next_push_at = m.accounted_for ? now + kSecond / 2 : now;
     return;
   }
   // No answer: the orders may arrive minutes later (held packets), also after the task was placed elsewhere.
@@ -138,11 +139,11 @@
   if (lost == 0)
     doubt(m, now, "a push was not answered");
   else
-    ++m.bump;
+    ++m.token_offset;
   const Micros longest = std::max(kPushAgain, kLongestPause * platform_.report);
-  m.push_again = now + std::min(longest, kPushAgain << std::min(lost, kMostDoubled));
+  m.next_push_at = now + std::min(longest, kPushAgain << std::min(lost, kMostDoubled));
   for (auto& [key, p] : m.tasks)
-    if (p.phase == Phase::sent && p.by_push) p.fence = token(m);
+    if (p.phase == AttemptPhase::sent && p.sent_by_push) p.fence_token = token(m);
 }
 
 }  // namespace aspenwick::share
--- a/src/share/share_controller_records.cpp
+++ b/src/share/share_controller_records.cpp
@@ -44,7 +44,7 @@
   if (most == 0) return out;
   std::vector<std::pair<Job*, Urgency*>> dirty;
   for (auto& [id, j] : view_.jobs)
-    if (!j->cancelled && !j->finished && !j->committing && !j->done.all() && !j->dirty.empty())
+    if (!j->cancelled && !j->finished && !j->committing && !j->done.all() && !j->dirty_units.empty())
       dirty.emplace_back(j.get(), nullptr);
   if (dirty.empty()) return out;
   auto urgency = urgent_results(now);
@@ -60,9 +60,9 @@
   for (const auto& [j, urgent] : dirty) {
     if (out.size() >= most) break;
     auto units = std::vector<std::uint32_t>(urgent->units.begin(), urgent->units.end());
-    units.insert(units.end(), j->dirty.begin(), j->dirty.end());
+    units.insert(units.end(), j->dirty_units.begin(), j->dirty_units.end());
     for (const std::uint32_t unit : units)
-      if (out.size() < most && j->dirty.contains(unit)) write_row_of(*j, unit, out);
+      if (out.size() < most && j->dirty_units.contains(unit)) write_row_of(*j, unit, out);
   }
   return out;
 }
@@ -75,13 +75,13 @@
   std::string text = j.done.chunk_text(chunk);
   const bool whole = text.size() + 2 <= platform_.value_room();
   const std::uint32_t row = whole ? chunk : kUnitRows + unit;
-  if (j.in_flight.contains(row)) return;
+  if (j.rows_in_flight.contains(row)) return;
   if (!whole) text = j.done.unit_text(unit);
   out.push_back({j.id, row, std::move(text), j.row_versions[row]});
-  j.in_flight.insert(row);
+  j.rows_in_flight.insert(row);
   const std::uint32_t first = whole ? chunk * DoneSet::kUnitsInChunk : unit;
   const std::uint32_t end = whole ? (chunk + 1) * DoneSet::kUnitsInChunk : unit + 1;
-  j.dirty.erase(j.dirty.lower_bound(first), j.dirty.lower_bound(end));
+  j.dirty_units.erase(j.dirty_units.lower_bound(first), j.dirty_units.lower_bound(end));
 }
 
 bool ShareController::surely_recorded(const Job& j, std::uint32_t index) const {
@@ -110,20 +110,20 @@
   auto it = view_.jobs.find(w.job);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
-  j.in_flight.erase(w.row);
+  j.rows_in_flight.erase(w.row);
   j.row_versions[w.row] = version;
   if (ok) return merge_row(j, w.row, w.text);
-  if (w.row >= kUnitRows) j.dirty.insert(w.row - kUnitRows);
+  if (w.row >= kUnitRows) j.dirty_units.insert(w.row - kUnitRows);
   for (std::uint32_t u = 0; w.row < kUnitRows && u < DoneSet::kUnitsInChunk; ++u) {
     const std::uint32_t unit = w.row * DoneSet::kUnitsInChunk + u;
-    if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty.insert(unit);
+    if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty_units.insert(unit);
   }
 }
 
 std::vector<std::string> ShareController::complete_jobs() const {
   std::vector<std::string> out;
   for (const auto& [id, j] : view_.jobs)
-    if (!j->cancelled && !j->finished && !j->committing && j->done.all() && j->in_flight.empty())
+    if (!j->cancelled && !j->finished && !j->committing && j->done.all() && j->rows_in_flight.empty())
       out.push_back(id);
   return out;
 }
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -24,10 +24,10 @@
   DecisionTest() {
     MachineRecord record;
     record.id = "i-1";
-    machine = &view.join(record);
+    machine = &view.add_machine(record);
     record.id = "i-2";
-    other = &view.join(record);
-    machine->accounted = other->accounted = true;
+    other = &view.add_machine(record);
+    machine->accounted_for = other->accounted_for = true;
     auto owned = std::make_unique<Job>();
     auto spec = wire::job_from_json(testing::job_json());
     owned->spec = std::make_shared<JobSpec>(spec);
@@ -38,11 +38,11 @@
     add(*machine, 1);
   }
   void add(Machine& m, std::uint64_t attempt) {
-    Placed p;
+    TaskAttempt p;
     p.job = job;
     p.job_id = job->id;
     p.attempt = attempt;
-    view.add(m, p);
+    view.add_attempt(m, p);
   }
   StartRefusal refusal(StartRefusal of_owner = StartRefusal::none) {
     return start_refusal(view, *machine, machine->tasks.at({"j-1", 0}), of_owner);
@@ -74,7 +74,7 @@
 }
 
 TEST_F(DecisionTest, NothingStartsOnAMachineThatIsNotAccountedFor) {
-  machine->accounted = false;
+  machine->accounted_for = false;
   EXPECT_EQ(refusal(), StartRefusal::machine_not_accounted);
 }
 
@@ -89,7 +89,7 @@
 }
 
 TEST_F(DecisionTest, NothingStartsWhileACopyOfTheTaskIsOnAnotherMachine) {
-  view.strays[{"j-1", 0}] = 1;
+  view.stray_attempts[{"j-1", 0}] = 1;
   EXPECT_EQ(refusal(), StartRefusal::other_attempt);
 }
 
@@ -109,7 +109,7 @@
 TEST_F(DecisionTest, AViolationInProductionIsCountedAndTheProcessGoesOn) {
   abort_on_violation(false);
   const auto before = violations();
-  violated(Invariant::epochs_rise, "share 0: epoch 1 after 2");
+  report_violation(Invariant::epochs_rise, "share 0: epoch 1 after 2");
   abort_on_violation(true);
   EXPECT_EQ(violations()[2], before[2] + 1);
 }
--- a/tests/rnn_test.cpp
+++ b/tests/rnn_test.cpp
@@ -18,8 +18,8 @@
   std::map<std::string, Rnn::Neuron> at;
 
   explicit Named(RnnSettings s = {}) : rnn(s) {}
-  void join(const std::string& m) { at[m] = rnn.join(m); }
-  void leave(const std::string& m) { rnn.leave(at.at(m)), at.erase(m); }
+  void add_machine(const std::string& m) { at[m] = rnn.add_machine(m); }
+  void remove_machine(const std::string& m) { rnn.remove_machine(at.at(m)), at.erase(m); }
   void learn(const std::string& m, double goal) { rnn.learn(at.at(m), goal); }
   double q(const std::string& m) const { return rnn.q(at.at(m)); }
   double threshold() const { return rnn.threshold(); }
@@ -38,7 +38,7 @@
 
 Named three(RnnSettings s = {}) {
   Named r(s);
-  for (const char* m : {"a", "b", "c"}) r.join(m);
+  for (const char* m : {"a", "b", "c"}) r.add_machine(m);
   return r;
 }
 
@@ -88,7 +88,7 @@
     EXPECT_NEAR(sum, 1, 1e-9);
   }
   Named s;
-  for (char m = 'a'; m < 'z'; ++m) s.join(std::string(1, m));
+  for (char m = 'a'; m < 'z'; ++m) s.add_machine(std::string(1, m));
   for (int i = 0; i < 20; ++i) s.learn("b", 0.1);
   EXPECT_DOUBLE_EQ(s.q("b"), 1.0);  // (0.25 + about 24 * 0.24 * 0.5) / 1 without clipping
 }
@@ -107,8 +107,8 @@
 
 TEST(Rnn, SharesUnderThreeMachinesGoRoundRobin) {
   Named r;
-  r.join("a");
-  r.join("b");
+  r.add_machine("a");
+  r.add_machine("b");
   r.learn("a", 0.1);
   const std::vector<std::string> both{"a", "b"};
   EXPECT_EQ(r.choose(both), "a");
@@ -121,14 +121,14 @@
   r.learn("a", 0.5);
   r.learn("c", 3);
   const double a = r.q("a"), c = r.q("c");
-  r.join("d");
+  r.add_machine("d");
   EXPECT_DOUBLE_EQ(r.q("d"), 0.5);  // a newcomer starts as all did
   EXPECT_DOUBLE_EQ(r.q("a"), a);
   EXPECT_DOUBLE_EQ(r.q("c"), c);
   EXPECT_GT(a, c);
-  r.leave("d");
-  r.leave("b");
-  r.join("e");
+  r.remove_machine("d");
+  r.remove_machine("b");
+  r.add_machine("e");
   EXPECT_GT(r.q("a"), r.q("c"));
   EXPECT_GT(r.excitatory("c", "a"), r.excitatory("a", "c"));
 }
@@ -151,7 +151,7 @@
   std::size_t at(const std::string& m) const {
     return static_cast<std::size_t>(std::find(names.begin(), names.end(), m) - names.begin());
   }
-  void join(const std::string& m) {
+  void add_machine(const std::string& m) {
     const auto n = static_cast<double>(names.size() + 1);
     for (auto* w : {&plus, &minus}) {
       for (auto& row : *w) {
@@ -170,7 +170,7 @@
       for (std::size_t k = 0; k < names.size(); ++k) plus[i][k] /= r, minus[i][k] /= r;
     }
   }
-  void leave(const std::string& m) {
+  void remove_machine(const std::string& m) {
     const auto i = static_cast<std::ptrdiff_t>(at(m));
     for (auto* w : {&plus, &minus}) {
       w->erase(w->begin() + i);
@@ -211,30 +211,30 @@
 void compare(std::size_t most, int steps, double goal_median, double tolerance, bool crowds,
              double drift = 1e-7) {
   RnnSettings settings;
-  settings.round_robin = 0;
+  settings.round_robin_fraction = 0;
   Named fast(settings);
   PlainRnn plain;
   std::mt19937 random(static_cast<unsigned>(most));
   std::lognormal_distribution<double> goal(std::log(goal_median), 0.3);
   auto any = [&] { return plain.names[random() % plain.names.size()]; };
   std::size_t joined = 0;
-  auto join = [&] {
+  auto add_machine = [&] {
     const auto m = "m" + std::to_string(joined++);
-    fast.join(m), plain.join(m);
+    fast.add_machine(m), plain.add_machine(m);
   };
-  auto leave = [&] {
+  auto remove_machine = [&] {
     const auto m = any();
-    fast.leave(m), plain.leave(m);
+    fast.remove_machine(m), plain.remove_machine(m);
   };
-  for (std::size_t i = 0; i < most; ++i) join();
+  for (std::size_t i = 0; i < most; ++i) add_machine();
   for (int step = 0; step < steps; ++step) {
     const auto what = random() % 40;
-    if (what < 2 && plain.names.size() > 4) leave();
-    if (what == 2 || what == 3) join();
+    if (what < 2 && plain.names.size() > 4) remove_machine();
+    if (what == 2 || what == 3) add_machine();
     if (crowds && what == 4)  // many at once, as at a takeover or when a zone is lost
-      for (std::size_t i = 0; i < most / 3; ++i) join();
+      for (std::size_t i = 0; i < most / 3; ++i) add_machine();
     if (crowds && what == 5)
-      for (std::size_t i = plain.names.size() / 3; i > 0 && plain.names.size() > 2; --i) leave();
+      for (std::size_t i = plain.names.size() / 3; i > 0 && plain.names.size() > 2; --i) remove_machine();
     const auto m = any();
     const double g = goal(random);
     fast.learn(m, g), plain.learn(m, g);
@@ -247,8 +247,8 @@
       ASSERT_NEAR(fast.q(plain.names[i]), plain.q[i], tolerance) << most << " machines, step " << step;
   }
   EXPECT_NEAR(fast.threshold(), plain.threshold, 1e-9);
-  EXPECT_LE(fast.rnn.classes(), Rnn::kMostClasses);
-  EXPECT_LE(fast.rnn.drift(), drift);
+  EXPECT_LE(fast.rnn.classes(), Rnn::kMaxClasses);
+  EXPECT_LE(fast.rnn.merge_error(), drift);
 }
 
 TEST(Rnn, ClassesAnswerAsThePlainFormDoes) {
@@ -270,7 +270,7 @@
 TEST(Rnn, ManyMachinesAreFewClasses) {
   Rnn r;
   std::vector<Rnn::Neuron> all;
-  for (int i = 0; i < 3000; ++i) all.push_back(r.join("m" + std::to_string(i)));
+  for (int i = 0; i < 3000; ++i) all.push_back(r.add_machine("m" + std::to_string(i)));
   EXPECT_EQ(r.classes(), 1U);
   std::mt19937 random(1);
   std::lognormal_distribution<double> goal(0, 0.3);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -75,11 +75,11 @@
 }
 
 TEST(OperatorSettings, DefaultsStandAndKeysAreChecked) {
-  EXPECT_DOUBLE_EQ(app::parse_operator_settings("").rnn.memory, 0.8);
+  EXPECT_DOUBLE_EQ(app::parse_operator_settings("").rnn.past_weight, 0.8);
   const auto s =
       app::parse_operator_settings("learner: {memory: 0.5, goal: seconds}\nrenting: {idle_after_s: 3}");
-  EXPECT_DOUBLE_EQ(s.rnn.memory, 0.5);
-  EXPECT_FALSE(s.rnn.normalise);
+  EXPECT_DOUBLE_EQ(s.rnn.past_weight, 0.5);
+  EXPECT_FALSE(s.rnn.relative_goals);
   EXPECT_EQ(s.renting.idle_after, 3 * kSecond);
   for (const char* bad : {"learner: {memory: 2}", "learner: {memorry: 0.5}", "lerner: {}",
                           "learner: {memory: x}", "learner: {goal: fast}", "learner: [", "- 1"})
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -104,7 +104,7 @@
     if (event == "hold") {
       if (!pipelines_) jobs_.clear();
       ShareControllerSettings s;
-      s.rnn.round_robin = 0;
+      s.rnn.round_robin_fraction = 0;
       controller_ = std::make_unique<ShareController>(
           platform_, types_, s,
           [this](const std::string& id) -> const JobRecord* {
