--- a/src/place/cluster_view.cpp
+++ b/src/place/cluster_view.cpp
@@ -8,8 +8,8 @@
 
 using wire::Shape;
 
-/// The machine has the image of a task that got past fetching. Like the worker, we take it that those used
-/// last are kept.
+/// The machine has the image of any task that got past fetching. Like the worker's cache, this model keeps
+/// the most recently used images.
 void Machine::note_image_use(const JobSpec& spec) {
   if (spec.image.empty() || !type) return;
   std::erase_if(cached_images, [&](const auto& i) { return i.first == spec.image; });
@@ -39,7 +39,7 @@
   return task_summary_;
 }
 
-/// The only way in for an attempt: its room is taken, its job and team know of it.
+/// The only way to add an attempt, so that free resources, team usage and the job's active tasks stay right.
 void ClusterView::add_attempt(Machine& m, TaskAttempt p) {
   TaskKey key{p.job_id, p.index};
   p.machine = &m;
@@ -69,8 +69,8 @@
                                FreeReason reason) {
   const TaskAttempt p = std::move(it->second);
   ++freed_counts.at(static_cast<std::size_t>(reason));
-  spdlog::debug("freed {}/{} try {} on {} session {} token {}: {}", p.job_id, p.index, p.attempt, m.record.id,
-                m.session, m.seen_token, to_string(reason));
+  spdlog::debug("freed {}/{} attempt {} on {} session {} token {}: {}", p.job_id, p.index, p.attempt,
+                m.record.id, m.session, m.seen_token, to_string(reason));
   const TaskKey key = it->first;
   m.tasks.erase(it);
   m.free += p.need;
@@ -93,9 +93,9 @@
   }
   if (!needs_restart(reason) || j->done.test(p.index)) return;
   j->to_restart.insert(p.index);
-  // What was never seen to start, its order lost, has been waiting all along.
+  // A task whose attempt was never reported (its start order was lost) has been waiting all along.
   if (j->waiting() == 1 && p.phase >= AttemptPhase::reported) j->waiting_since = now;
-  // A gang runs whole or not at all: the rest must be gone before the next attempt.
+  // A gang runs whole or not at all: the other tasks must be gone before the next attempt.
   if (j->spec->shape == Shape::gang && !j->active.empty() && p.attempt == j->gang_attempt)
     end_gang_attempt(*j);
 }
@@ -132,9 +132,9 @@
     if (auto p = machine->tasks.find({j.id, index}); p != machine->tasks.end()) halt(p->second, grace);
 }
 
-/// Those still fetching when the others had waited for too long go on until they have the image, and are
-/// stopped then: a fetch that nobody waits for is given up, and the next attempt would fail the same way, for
-/// ever where an image takes longer than a gang waits.
+/// Tasks that were still fetching when the others had waited too long go on until they have the image and are
+/// halted then. A worker gives up a fetch that no task waits for, so halting them at once would make every
+/// further attempt fail in the same way where fetching takes longer than a gang waits.
 void ClusterView::end_gang_attempt(Job& j) {
   for (const auto& [index, machine] : j.active) {
     auto p = machine->tasks.find({j.id, index});
@@ -163,7 +163,6 @@
   return sum;
 }
 
-/// New, or known with another record.
 Machine& ClusterView::add_machine(const MachineRecord& record) {
   auto [it, added] = machines.try_emplace(record.id);
   Machine& m = it->second;
@@ -202,8 +201,7 @@
   if (auto shared = known.lock()) return shared;
   auto made = std::make_shared<std::pair<const JobKind, FailedSearches>>(kind, FailedSearches{});
   known = made;
-  if (kinds_.size() >=
-      kinds_purge_size_) {  // as many again may come before those without jobs are looked for
+  if (kinds_.size() >= kinds_purge_size_) {  // remove kinds without jobs; the next sweep is at twice the size
     std::erase_if(kinds_, [](const auto& k) { return k.second.expired(); });
     kinds_purge_size_ = 64 + 2 * kinds_.size();
   }
--- a/src/place/delivery_tracker.h
+++ b/src/place/delivery_tracker.h
@@ -1,5 +1,6 @@
-// Whether what we send reaches a machine whose reports reach us. Its token tells: what we doubt, we doubt
-// under a new token, and only a report that shows that token proves that something of ours arrived since.
+// Detects a machine whose reports arrive while our answers and orders may not reach it. Doubt about delivery
+// is raised under a new token; only a report that shows this token, or a higher one, proves that something we
+// sent since then has arrived.
 #pragma once
 #include <cstdint>
 
@@ -7,15 +8,18 @@
 
 namespace aspenwick::place {
 
+/// Delivery to one machine.
 class DeliveryTracker {
  public:
-  /// Something that it should have heard had no effect; `token`, never given out before, will prove it wrong.
+  /// Something sent to the machine had no effect. `token` must not have been sent before; seeing it in a
+  /// report ends the doubt.
   void doubt(std::uint64_t token, Micros now) {
     if (doubt_token_ == 0) in_doubt_since_ = now;
     doubt_token_ = token;
   }
-  /// Its newest report shows the token that it has seen. Before that was sent, our answer to the report
-  /// before it, with `ours` or more, had arrived or was lost for good. true: what was doubted is proven.
+  /// Takes the token shown by the machine's newest report. Before that report was sent, our answer to the
+  /// previous one, which held `min_token` or a higher token, had arrived or was lost for good. Returns
+  /// whether this ended a doubt.
   bool on_token_seen(std::uint64_t token, std::uint64_t min_token) {
     if (token >= min_token)
       lost_answers_ = 0;
@@ -26,17 +30,18 @@
     if (proven) doubt_token_ = 0;
     return proven;
   }
+  /// The machine's report was answered.
   void on_answer_sent() { answer_outstanding_ = true; }
 
-  /// Nothing new is given to it: it would wait there for a lease or more.
+  /// While in doubt, the machine gets no new tasks: they might wait there for a lease or longer.
   bool in_doubt() const { return doubt_token_ != 0; }
-  /// For how long, 0: it isn't in doubt.
+  /// Time in doubt; 0 if it is not.
   Micros in_doubt_for(Micros now) const { return doubt_token_ == 0 ? 0 : now - in_doubt_since_; }
-  /// Answers that surely did not arrive, in a row.
+  /// Consecutive answers that are known not to have arrived.
   int lost_answers() const { return lost_answers_; }
 
  private:
-  std::uint64_t doubt_token_ = 0;  // 0: nothing is
+  std::uint64_t doubt_token_ = 0;  // 0: not in doubt
   Micros in_doubt_since_ = 0;
   bool answer_outstanding_ = false;
   int lost_answers_ = 0;
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -10,22 +10,22 @@
 using wire::Shape;
 
 namespace {
-constexpr Micros kReservationTime = 3 * kSecond;  // for what it was made
+constexpr Micros kReservationTime = 3 * kSecond;  // of a machine for the job that tasks were preempted for
 constexpr Micros kMaxWaitForNonGpu = 4 * kSecond;
-constexpr Micros kMinRemainingToMove = 75 * kSecond;  // left of a gang, at least
+constexpr Micros kMinRemainingToMove = 75 * kSecond;  // expected remaining run time of a gang
 constexpr Micros kUrgentStartSlack = 20 * kSecond;
 constexpr Micros kUrgentFinishSlack = 40 * kSecond;
 constexpr Micros kMinMoveInterval = 90 * kSecond;
 constexpr Micros kMoveDuration = 15 * kSecond;
-// Nothing of a job started for so long: the leader looks for room in other shares, whose machines take a
-// while to run empty; later, what is better kept for GPU work is kept no longer. Well inside the 90 s that no
-// job may wait beside room.
+// Time without any start of a job's tasks after which the leader looks for capacity in other shares, whose
+// machines take a while to drain, and after which the job may also use machines kept for GPU work. Both are
+// well below the 90 s that no job may wait while there is capacity for it.
 constexpr Micros kPassedOverAfter = 20 * kSecond;
 constexpr Micros kAnyRoomAfter = 50 * kSecond;
-constexpr int kImageCached = 2;           // see warmth()
-constexpr double kLongFetchSeconds = 10;  // seconds: more than lower work loses by making way
-constexpr double kFetchFraction = 0.25;   // of the time in which a task should start
-constexpr int kMaxTargetRounds = 3;       // what makes way in one aims lower in the next
+constexpr int kImageCached = 2;           // see image_availability()
+constexpr double kLongFetchSeconds = 10;  // more than preempted work loses
+constexpr double kFetchFraction = 0.25;   // of the objective for the start
+constexpr int kMaxTargetRounds = 3;       // jobs deferred in one round have a lower target in the next
 }  // namespace
 
 void Placement::note_gpu_job(const JobSpec& spec) {
@@ -34,7 +34,6 @@
     if (job::type_allowed(spec, types_[i])) usable_by_gpu_jobs_[i] = true;
 }
 
-/// Seconds that a task of the job takes, as seen so far or as its owner guessed.
 double Placement::expected_run_seconds(const Job& j) {
   return j.finished_runs >= 3 ? j.run_seconds / j.finished_runs : to_seconds(j.spec->estimate);
 }
@@ -43,7 +42,7 @@
   const Micros to_start = j.ready + j.start_within - now;
   if (!j.finish_by) return to_start;
   const Micros to_finish = *j.finish_by - j.spec->estimate - now;
-  // Hurried by what follows only, its own class's objective holds as well.
+  // If only the jobs that need it impose a time to finish, its class's start objective holds as well.
   return j.spec->deadline ? to_finish : std::min(to_finish, to_start);
 }
 
@@ -54,15 +53,15 @@
 }
 
 namespace {
-/// A job that waits, as the order sees it.
+/// A job with waiting tasks and the keys that it is ordered by.
 struct WaitingJob {
   Job* job;
   Rank rank;
   bool guaranteed;
-  /// What it is to keep still: its deadline, or its class's objective for the end, or neither, all too late.
+  /// What it can still meet: its deadline, else its class's objective for the end, else neither.
   enum class Target : std::uint8_t { deadline, objective, none } target;
-  Micros slack;  // to that
-  double work;   // seconds of a task
+  Micros slack;  // to the target
+  double work;   // expected run time of all waiting tasks, in seconds
 };
 
 bool placed_before(const WaitingJob& a, const WaitingJob& b) {
@@ -74,9 +73,9 @@
   return a.job->id < b.job->id;
 }
 
-/// When not all can be kept, keep as many as can be (Moore's rule): in the order of their slack, whenever one
-/// would be late, the largest so far makes way. In the order of deadlines alone nearly all would miss by a
-/// little. What makes way is returned.
+/// If not all targets can be met, selects jobs to defer so that as many as possible are met (Moore's
+/// algorithm): goes through the jobs in the order of their slack and, whenever one would be late, defers the
+/// largest so far. Ordered by deadline alone, nearly all would be a little late. Returns the deferred jobs.
 std::vector<WaitingJob*> select_deferred(const std::vector<WaitingJob*>& jobs, double slots) {
   std::vector<WaitingJob*> kept, out;
   double work = 0;
@@ -95,9 +94,10 @@
   return out;
 }
 
-/// A job that is too late for its deadline aims at its class's objective for the end, in one queue with those
-/// that are not: each class keeps that floor. Put after all that were in time, half of a class waited for 600
-/// s that could nearly all have been over in 350.
+/// A job that is too late for its deadline gets its class's objective for the end as its target, and stays in
+/// one queue with the jobs that are in time, so that each class still gets its objective. When such jobs came
+/// after all that were in time, half of a class waited for 600 s though nearly all of it could have ended
+/// within 350 s.
 void lower_target(WaitingJob& w, Micros now) {
   using Target = WaitingJob::Target;
   const bool first = w.target == Target::deadline;
@@ -115,7 +115,7 @@
     if (j->cancelled || j->finished || j->waiting() == 0) continue;
     list.push_back({j.get(), effective_rank(*j, now), quota_.within_guarantee(*j), Target::deadline,
                     slack(*j, now), j->waiting() * expected_run_seconds(*j)});
-    // Once a deadline can no longer be kept, the job makes way for those that still can.
+    // A job that can no longer meet its deadline yields to those that can.
     if (j->finish_by && *j->finish_by - j->spec->estimate < now) lower_target(list.back(), now);
   }
   double low_rank_slots = 0;
@@ -132,7 +132,7 @@
     for (WaitingJob* w : out) lower_target(*w, now);
     if (out.empty()) break;
   }
-  for (WaitingJob& w : list)  // the shortest first
+  for (WaitingJob& w : list)  // without a target, jobs with the fewest waiting tasks come first
     if (w.target == Target::none) w.slack = static_cast<Micros>(w.job->waiting());
   std::sort(list.begin(), list.end(), placed_before);
   std::vector<Job*> out;
@@ -149,7 +149,8 @@
   return j.next_index;
 }
 
-/// How long nothing of it was started, though it might have been.
+/// Updates how long none of the job's tasks was started although it could have been, and the flags that
+/// follow.
 void Placement::update_wait(Job& j, Micros now) const {
   const std::uint32_t tasks = j.spec->shape == Shape::gang ? j.spec->tasks : 1;
   if (now < j.not_before || !placement_allowed(j) || !quota_.within_limit(j, tasks)) j.waiting_since = now;
@@ -165,8 +166,7 @@
       unaccounted_.insert({m->type, m->type_index, m->zone, m->spot});
 }
 
-/// What the job's own wishes forbid there was never started there: by us, or by whoever held the share
-/// before.
+/// Neither we nor a former owner of the share ever started a task where its job's constraints forbid it.
 bool Placement::may_hold_tasks_of(const UnaccountedMachine& u, const Job& j) const {
   if (!u.type) return true;
   if (u.spot && !j.spec->spot) return false;
@@ -174,13 +174,14 @@
   return (kind.zone < 0 || kind.zone == u.zone) && kind.types[u.type_index];
 }
 
-/// A task is placed only when every machine that could hold it is accounted for. One that is silent after a
-/// takeover (it died, or was taken back) holds up its whole lease long only what it may hold: without that,
-/// one lost spot machine kept production of its share waiting for 15 s.
+/// A task is placed only when every machine that could hold an attempt of it is accounted for. A machine that
+/// is silent after a takeover (it died, or was reclaimed) delays for its whole lease only the jobs that it
+/// may hold. When it delayed all jobs, one lost spot machine kept production jobs of its share waiting for 15
+/// s.
 bool Placement::placement_allowed(const Job& j) const {
   if (j.committing) return false;
   if (view_.rebuilt) return true;
-  // Unseen tasks may use up the team's limit.
+  // Tasks on machines that are not accounted for may use up the team's limit.
   const wire::Team* t = quota_.team(j.spec->team);
   if (!t) return false;
   if (t->limit.cpus > 0 && j.spec->need.cpus > 0) return false;
@@ -198,7 +199,7 @@
   if (!m.type || !m.up || !m.accounted_for || m.leaving || m.reclaim_at || m.suspect_until > now)
     return false;
   if (m.drain_until > now || m.delivery.in_doubt() || m.unattributed > 0) return false;
-  // Room that is being made bit by bit must not be filled again from below.
+  // Capacity that is being freed by preemption must not be taken by lower ranks meanwhile.
   if (m.reserved_until > now && j.rank < m.reserved_for_rank) return false;
   if (m.spot && !j.spec->spot) return false;
   const JobKind& kind = j.kind->first;
@@ -209,24 +210,26 @@
 }
 
 bool Placement::fits(const Job& j, const Machine& m, const Resources& free) const {
-  // Machines for GPU work take other work only if it can make way at once: what stays, or outranks GPU work,
-  // would keep a dear machine rented for a few CPUs.
-  // Passed over for long, it may: where these were the only machines with room it never ran.
+  // Machines for GPU jobs take other work only if it can be preempted at once: services, gangs and higher
+  // ranks would keep an expensive machine rented for a few CPUs. Jobs that have waited long (any_room) are
+  // exempt: where these were the only machines with capacity, they never ran.
   if (j.spec->need.gpus == 0 && usable_by_gpu_jobs_[m.type_index] && !j.any_room &&
       (j.rank > Rank::low || j.spec->shape != Shape::array))
     return false;
   return j.spec->need.fits_in(free);
 }
 
-/// Machines that cost much more for this kind of task are a tier of their own: q decides within the cheapest
-/// tier that has room. A long-running task on a GPU machine that it does not need would keep it rented.
+/// Machines that cost much more for this kind of task form a tier of their own, and q decides within the
+/// cheapest tier that has capacity. A long-running task on a GPU machine that it does not need would keep it
+/// rented.
 int Placement::cost_tier(const Job& j, const Machine& m) const {
   if (j.spec->need.gpus == 0) return m.type->total.gpus > 0 ? 1 : 0;
-  // What may not use spot machines has no cheaper tier to wait for, and none to make room in.
+  // A job that may not use spot machines has no cheaper tier to wait for or to preempt in.
   return m.spot || !j.spec->spot ? 0 : 1;
 }
 
-/// How soon a task could start there: 2 with its image, 1 while another task fetches it.
+/// How soon a task could have its image there: 2 if it is cached (kImageCached) or none is needed, 1 if
+/// another task may be fetching it, else 0.
 int Placement::image_availability(const Job& j, const Machine& m) const {
   if (j.spec->image.empty()) return 2;
   if (std::any_of(m.cached_images.begin(), m.cached_images.end(),
@@ -238,8 +241,8 @@
   });
 }
 
-/// Fetching its image takes so long that it would hardly start in time: it makes room where the image is
-/// rather than start where there is room.
+/// Whether fetching the job's image takes so long that it would hardly start in time. Such a job preempts
+/// tasks where its image is cached rather than start where there is capacity.
 bool Placement::prefers_cached_image(const Job& j) const {
   if (j.rank < Rank::high || j.spec->image.empty()) return false;
   double slowest = 0;
@@ -248,9 +251,9 @@
   return slowest > std::max(kLongFetchSeconds, kFetchFraction * to_seconds(j.start_within));
 }
 
-/// Production keeps a machine rented for long. For the few seconds in which the leader may drain one without
-/// GPUs elsewhere it waits, rather than settle on a dear one; where plain machines are all taken, longer
-/// would be in vain.
+/// Production jobs keep a machine rented for long. They wait a few seconds, in which the leader may drain a
+/// machine without GPUs in another share, rather than start on an expensive one. Where all such machines are
+/// in use, a longer wait would not help.
 bool Placement::waits_for_non_gpu_machine(const Job& j, Micros now) const {
   if (j.rank != Rank::production || j.spec->need.gpus > 0) return false;
   if (now - j.ready >= std::min(j.start_within / 2, kMaxWaitForNonGpu)) return false;
@@ -260,7 +263,7 @@
 }
 
 namespace {
-/// Equal q: spot machines first, then the fullest.
+/// The order of machines with equal q: spot machines first, then the fullest.
 bool preferred_over(const Machine* a, const Machine* b) {
   if (a->spot != b->spot) return a->spot;
   if (a->free.cpus != b->free.cpus) return a->free.cpus < b->free.cpus;
@@ -280,7 +283,7 @@
   for (const Machine* m : machines) neurons.push_back(m->neuron);
 }
 
-/// As far as the job's own tasks decide.
+/// Whether the zones of the job's active tasks allow a further one on this machine (`spread`, `one_zone`).
 bool Placement::zone_allowed(const Job& j, const Machine& m) const {
   if (j.spec->one_zone && !j.active.empty() && j.active_in_zone(m.zone) == 0) return false;
   return !j.spec->spread || j.active_in_zone(m.zone) < static_cast<int>((j.spec->tasks + 1) / 2);
@@ -302,7 +305,7 @@
     if (tier < candidates.tier) candidates.tier = tier, found.clear();
     found.push_back({&m, 0});
   }
-  // Among these, where the image is: fetching it takes as long as many tasks run.
+  // Among these, prefer machines with the image: fetching it can take as long as many tasks run.
   int best_availability = 0;
   for (Found& f : found)
     f.availability = image_availability(j, *f.machine),
@@ -310,8 +313,8 @@
   candidates.machines.clear(), candidates.neurons.clear();
   best_availability = std::max(best_availability, candidates.min_availability);
   std::erase_if(found, [&](const Found& f) { return f.availability < best_availability; });
-  // What stays goes where something stays already: scattered, it would tie every machine to its share, and
-  // their rooms would be of no use to the others.
+  // Services go where other services run already. Scattered, they would tie every machine to its share, and
+  // other shares could not use the free capacity.
   if (j.spec->shape == Shape::service && std::any_of(found.begin(), found.end(), [](const Found& f) {
         return f.machine->task_summary().has_services;
       }))
@@ -324,11 +327,11 @@
 bool Placement::place_task(Job& j, std::uint32_t index, std::uint64_t attempt, bool cheap_only, Micros now,
                            CandidateSet& candidates) {
   if (!quota_.within_limit(j, 1)) return false;
-  // An old attempt is still somewhere.
+  // Another attempt is still on some machine.
   if (!view_.stray_attempts.empty() && view_.stray_attempts.contains({j.id, index})) return false;
   if (candidates.machines.empty()) {
-    // In vain for all jobs alike, until there is more room. Zones and machines that one job avoids are its
-    // own.
+    // A failed search holds for all jobs of the kind until there is more capacity, unless zones or machines
+    // that only this job avoids have restricted it.
     const bool applies_to_kind = !j.spec->spread && !j.spec->one_zone && j.avoided_machines.empty() &&
                                  candidates.zone < 0 && candidates.min_availability == 0 && !j.any_room;
     auto& failed = j.kind->second.placement[static_cast<std::size_t>(j.rank)];
@@ -347,8 +350,8 @@
   const std::size_t chosen = rnn_.choose(candidates.neurons);
   Machine& m = *candidates.machines[chosen];
   if (spdlog::should_log(spdlog::level::debug))
-    spdlog::debug("place {}/{} try {} on {} q {:.4f} of {} with room", j.id, index, attempt, m.record.id,
-                  rnn_.q(m.neuron), candidates.machines.size());
+    spdlog::debug("placing {}/{} attempt {} on {}: q {:.4f}, {} candidates", j.id, index, attempt,
+                  m.record.id, rnn_.q(m.neuron), candidates.machines.size());
   TaskAttempt p;
   p.job = &j;
   p.job_id = j.id;
@@ -366,15 +369,15 @@
   return true;
 }
 
-/// How many tasks of the job `room` holds.
+/// How many tasks of the job fit into `room` on this machine.
 std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources room) const {
   if (!fits(j, m, room)) return 0;
   return j.spec->need.times_in(room, j.spec->tasks);
 }
 
-/// The zones in which a gang that needs one could start, given the room that `room_of` tells of each machine:
-/// the one with the least to spare first, so that the other stays open for a larger gang. A single -1 if any
-/// will do.
+/// The zones in which the whole gang could start, if each machine has the capacity that `room_of` returns.
+/// The zone with the least to spare comes first, so that the others stay free for larger gangs. For a gang
+/// that is not bound to one zone: a single -1, or nothing.
 std::vector<int> Placement::gang_zones(const Job& j, Micros now,
                                        const std::function<Resources(const Machine&)>& room_of) const {
   std::map<std::string, std::pair<int, std::int64_t>> by_name;
@@ -396,9 +399,10 @@
 }
 
 bool Placement::place_gang(Job& j, Micros now, int min_availability) {
-  // Old attempts must be gone before the new one starts.
+  // All tasks of the previous attempt must be gone before the next one starts.
   if (!j.active.empty() || !quota_.within_limit(j, j.spec->tasks)) return false;
-  // In vain for gangs alike that are as large. One that goes to spot machines looks for less than they do.
+  // A failed search holds for all gangs of the kind that are as large or larger. One that moves to spot
+  // machines searches fewer machines, so its failures are not recorded.
   auto& failed = j.kind->second.gang_placement[static_cast<std::size_t>(j.rank)];
   const auto capacity_version = view_.capacity_version_for(j.kind->first);
   if (!j.any_room && failed.covers(capacity_version, j.spec->need, j.spec->tasks)) return false;
@@ -419,7 +423,7 @@
   for (std::uint32_t i = 0; i < j.spec->tasks; ++i) {
     if (j.done.test(i)) continue;
     if (place_task(j, i, attempt, false, now, candidates)) continue;
-    // All or none.
+    // A gang is placed whole or not at all.
     j.gang_attempt = 0;
     const auto active = j.active;
     for (const auto& [index, m] : active)
@@ -431,8 +435,8 @@
   return true;
 }
 
-/// A gang that saves, runs whole on ordinary machines and has some time to go: what is left costs less on
-/// spot machines than fetching the image again and the repeated start.
+/// Whether the gang saves checkpoints, runs with all its tasks, not all of them on spot machines, and has
+/// enough run time left that the lower price outweighs fetching the image again and restarting.
 bool Placement::worth_moving_to_spot(const Job& j, Micros now) const {
   if (j.spec->shape != Shape::gang || !j.spec->spot || j.spec->checkpoint_every == 0 ||
       j.spec->need.gpus == 0)
@@ -447,9 +451,9 @@
   }
   const Micros elapsed = j.first_started_at > 0 ? now - j.first_started_at : 0;
   if (!on_demand) return false;
-  // Owners guess too low as often as too high.
+  // Submitted estimates are too low as often as too high.
   const Micros left = std::max(j.spec->estimate - elapsed, elapsed / 3);
-  // Not if the move may cost what is expected of it.
+  // Not if the move could make it miss its objective.
   for (const auto& o : platform_.objectives)
     if (o.kind == "finished" && o.job_class == j.spec->job_class) {
       const Micros spare = j.ready + o.within - now - left;
@@ -458,14 +462,15 @@
   return left > kMinRemainingToMove;
 }
 
-/// Machines with GPUs cost several times as much when they aren't spot ones. When some of those are left
-/// over, a gang saves, stops and goes on there; its ordinary machines can be given back.
+/// On-demand machines with GPUs cost several times as much as spot ones. When spot machines are free, a gang
+/// saves, stops and continues there, and its on-demand machines can be returned. Moves at most one gang per
+/// pass.
 void Placement::move_to_spot(Micros now) {
   for (auto& [id, j] : view_.jobs) {
     if (!worth_moving_to_spot(*j, now)) continue;
     const auto zones = gang_zones(*j, now, [](const Machine& m) { return m.spot ? m.free : Resources{}; });
     if (zones.empty()) continue;
-    spdlog::info("gang {} goes on on spot machines", j->id);
+    spdlog::info("gang {} moves to spot machines", j->id);
     j->moved_to_spot_at = now;
     j->spot_only_until = now + kMoveDuration;
     view_.stop_gang(*j, j->spec->save_time);
@@ -473,7 +478,8 @@
   }
 }
 
-/// Stops lower ranks on as many machines of one zone as the whole gang needs, or on none.
+/// Preempts lower ranks on as many machines as the whole gang needs, in one zone if it is bound to one, or on
+/// none. Prefers the machines where the least work is lost.
 bool Placement::preempt_for_gang(Job& j, Micros now, int min_availability) {
   if (!j.active.empty() || !quota_.within_limit(j, j.spec->tasks)) return false;
   auto& failed = j.kind->second.gang_preemption[static_cast<std::size_t>(j.rank)];
@@ -533,9 +539,9 @@
 
 Placement::Preemption Placement::preempt_for(Job& j, Micros now, int min_availability) {
   std::int64_t missing = j.waiting();
-  // What is unseen counts against the guarantee too: until it is seen nobody borrows.
+  // Tasks that are not accounted for may count against the guarantee, so it is used only on a rebuilt share.
   const bool guaranteed = view_.rebuilt && quota_.within_guarantee(j);
-  if (guaranteed && j.rank < Rank::high) {  // others' work is stopped for the guaranteed part only
+  if (guaranteed && j.rank < Rank::high) {  // preempt other teams' work for the guaranteed part only
     const auto& g = quota_.team(j.spec->team)->guaranteed;
     const auto& use = view_.team_usage[j.spec->team];
     missing = std::min(missing, j.spec->need.gpus > 0 ? (g.gpus - use.gpus) / j.spec->need.gpus
@@ -559,7 +565,7 @@
     if (summary.halting) {
       for (const auto& [key, p] : m.tasks)
         if (p.halting) available += p.need;
-      // room that is already on its way
+      // Tasks being halted free this capacity already.
       while (missing > 0 && fits(j, m, available)) available -= j.spec->need, --missing;
       if (missing <= 0) return Preemption::pending;
     }
@@ -579,7 +585,8 @@
       victims.push_back(p);
       loss += to_seconds(now - p->started_at) * static_cast<double>(p->need.cpus + 8 * p->need.gpus);
     }
-    // The same test as for placing: else tasks are stopped for room that is then refused, again and again.
+    // The same test as for placing; otherwise tasks would be preempted again and again for capacity that the
+    // job is then refused.
     if (victims.empty() || !fits(j, m, available)) continue;
     if (!best || loss < best_loss) best = &m, best_victims = victims, best_loss = loss;
   }
@@ -590,7 +597,7 @@
   best->reserved_for_rank = j.rank;
   best->reserved_until = now + kReservationTime;
   for (TaskAttempt* p : best_victims) {
-    spdlog::debug("preempt {}/{} on {} for {}", p->job_id, p->index, best->record.id, j.id);
+    spdlog::debug("preempting {}/{} on {} for {}", p->job_id, p->index, best->record.id, j.id);
     const Micros grace = p->job->spec->checkpoint_every > 0 ? p->job->spec->save_time : 0;
     if (p->job->spec->shape == Shape::gang)
       view_.stop_gang(*p->job, grace);
@@ -600,7 +607,7 @@
   return Preemption::started;
 }
 
-/// A gang: placed whole, or lower ranks stopped for it.
+/// Places the whole gang, or preempts lower ranks for it. Returns false if neither was possible.
 bool Placement::place_gang_or_preempt(Job& j, Micros now, int min_availability) {
   if (place_gang(j, now, min_availability) || !j.active.empty()) return true;
   return j.rank > Rank::low && preempt_for_gang(j, now, min_availability);
@@ -617,11 +624,11 @@
     if (j->spec->shape == Shape::gang) {
       if (prefers_cached_image(*j) && place_gang_or_preempt(*j, now, kImageCached)) continue;
       if (!place_gang_or_preempt(*j, now, 0) && j->rank > Rank::low && j->spec->tasks == 1)
-        preempt_for(*j, now, 0);  // of what others borrowed
+        preempt_for(*j, now, 0);  // may also preempt other teams' borrowed resources
       continue;
     }
-    auto place = [&](bool cheap_only,
-                     int min_availability = 0) {  // true: all that waits, or enough for one pass
+    // Returns true if all waiting tasks were placed, or enough for one pass.
+    auto place = [&](bool cheap_only, int min_availability = 0) {
       CandidateSet candidates;
       candidates.min_availability = min_availability;
       while (auto index = next_task(*j)) {
@@ -631,12 +638,14 @@
       }
       return true;
     };
-    // Production rather displaces lower ranks than stay on a dear machine. What is done soon takes dear room
-    // that is there anyway: displaced work is lost.
+    // Production jobs preempt lower ranks rather than stay on an expensive machine. Jobs that end soon use
+    // expensive machines that are rented anyway, since preempted work is lost.
     const bool may_displace =
         effective_rank(*j, now) >= Rank::high || (view_.rebuilt && quota_.within_guarantee(*j));
     const bool is_production = j->rank == Rank::production;
-    auto preempt = [&](int min_availability) {  // what makes way for it now, or has begun to before
+    // Preempts for up to eight waiting tasks. Returns `started` if anything was preempted now, `pending` if
+    // halts under way are enough.
+    auto preempt = [&](int min_availability) {
       Preemption last = Preemption::started, outcome = Preemption::none;
       for (std::uint32_t i = 0; i < j->waiting() && i < 8 && last == Preemption::started; ++i)
         if (last = preempt_for(*j, now, min_availability); last != Preemption::none)
@@ -651,7 +660,7 @@
     if (!preempting && is_production && !waits_for_non_gpu_machine(*j, now)) place(false);
   }
   if (view_.rebuilt) move_to_spot(now);
-  return attempts_ < attempt_limit;  // the last job may have stopped there
+  return attempts_ < attempt_limit;  // the last job may have reached the limit
 }
 
 }  // namespace aspenwick::place
--- a/src/place/placement.h
+++ b/src/place/placement.h
@@ -1,5 +1,5 @@
-// Which task goes where, and which make way: the order of jobs, the choice of machines by the learner, gangs,
-// preemption. Works on the view of one share; what it decides is sent by the owner.
+// Placement of the waiting tasks of one share: the order of the jobs, the choice of machines by the learner,
+// gang placement and preemption. Changes only the ClusterView; the share's owner sends the resulting orders.
 #pragma once
 #include <functional>
 #include <optional>
@@ -13,6 +13,7 @@
 
 namespace aspenwick::place {
 
+/// Placement for one share. The settings, machine types and view must outlive it.
 class Placement {
  public:
   Placement(const wire::PlatformSettings& platform, const std::vector<wire::MachineType>& types,
@@ -25,20 +26,27 @@
         epoch_(epoch),
         usable_by_gpu_jobs_(types.size()) {}
 
-  /// Places what can be placed, in order; false: stopped after about `most` tasks (over 0) with more to do.
+  /// Places waiting tasks in the order of their jobs. Returns false if it stopped after about `max_tasks`
+  /// (over 0) tasks with more to do.
   bool place_waiting_tasks(Micros now, std::uint64_t max_tasks);
-  /// Attempts numbered in this epoch; none beyond kAttemptsPerEpoch.
+  /// Attempt numbers used in this epoch, at most kAttemptsPerEpoch.
   std::uint64_t attempts_in_epoch() const { return attempts_; }
+  /// Continues under a higher epoch, with attempt numbers from its start.
   void raise_epoch(std::uint64_t epoch) { epoch_ = epoch, attempts_ = 0; }
-  /// Jobs with waiting tasks, the first to be placed first.
+  /// Jobs with waiting tasks, in the order in which they are to be placed.
   std::vector<Job*> ordered_jobs(Micros now) const;
+  /// How long the job can be delayed without missing its deadline or start objective; negative if it is late.
   Micros slack(const Job& j, Micros now) const;
-  /// The priority that a job from which others wait is placed with: theirs once it is pressed for time, until
-  /// then its own, so that stages with time to spare neither stop others' work nor hold up what has less.
+  /// The rank that the job is placed with. A job that others of a higher rank need gets theirs once its time
+  /// is short, and keeps its own until then, so that pipeline stages with time to spare neither preempt other
+  /// work nor delay jobs with less time.
   wire::Rank effective_rank(const Job& j, Micros now) const;
+  /// Expected run time of a task of the job in seconds: the mean of its finished tasks once there are three,
+  /// before that the submitted estimate.
   static double expected_run_seconds(const Job& j);
+  /// Whether a production job should still wait for a machine without GPUs to be drained for it.
   bool waits_for_non_gpu_machine(const Job& j, Micros now) const;
-  /// Any share's job: which machine types its GPU tasks can use.
+  /// Notes the machine types that a GPU job, of any share, can use.
   void note_gpu_job(const JobSpec& spec);
   bool usable_by_gpu_jobs(std::size_t type) const { return usable_by_gpu_jobs_[type]; }
   const Quota& quota() const { return quota_; }
@@ -46,9 +54,9 @@
   const Rnn& rnn() const { return rnn_; }
 
  private:
-  /// Before the share is rebuilt: what the machines that are not accounted for may hold.
+  /// Properties of machines that are not accounted for yet, from which follows whose tasks may be on them.
   struct UnaccountedMachine {
-    const wire::MachineType* type = nullptr;  // null: not known, may hold anything
+    const wire::MachineType* type = nullptr;  // null: unknown, may hold any task
     std::size_t type_index = 0;
     int zone = 0;
     bool spot = false;
@@ -64,14 +72,15 @@
   bool prefers_cached_image(const Job& j) const;
   void update_wait(Job& j, Micros now) const;
   static std::optional<std::uint32_t> next_task(Job& j);
-  /// Machines on which a task of one job could start, of the cheapest and warmest tier that has any; spot
-  /// ones first, then the fullest. Kept from task to task of the job, since a task changes one of them.
+  /// Machines on which a task of one job could start: those of the lowest cost tier that has any, and among
+  /// these the ones with the best image availability. Spot machines come first, then the fullest. Reused for
+  /// the job's further tasks, since each placed task changes only one machine.
   struct CandidateSet {
     std::vector<Machine*> machines;
     std::vector<Rnn::Neuron> neurons;
     int tier = 0;
-    int zone = -1;             // the only one looked at
-    int min_availability = 0;  // see warmth()
+    int zone = -1;             // the only zone considered; -1: all
+    int min_availability = 0;  // see image_availability()
     void insert(Machine* m);
     void keep_if(const std::function<bool(const Machine&)>& wanted);
   };
@@ -87,6 +96,7 @@
   bool place_gang_or_preempt(Job& j, Micros now, int min_availability);
   bool worth_moving_to_spot(const Job& j, Micros now) const;
   void move_to_spot(Micros now);
+  /// Outcome of a search for tasks to preempt; `pending`: tasks already being halted will free enough.
   enum class Preemption : std::uint8_t { none, pending, started };
   Preemption preempt_for(Job& j, Micros now, int min_availability);
 
@@ -97,8 +107,8 @@
   Rnn rnn_;
   std::uint64_t epoch_;
   std::uint64_t attempts_ = 0;
-  std::vector<bool> usable_by_gpu_jobs_;      // types that GPU jobs can use
-  std::set<UnaccountedMachine> unaccounted_;  // as of this pass
+  std::vector<bool> usable_by_gpu_jobs_;      // by machine type
+  std::set<UnaccountedMachine> unaccounted_;  // as of the current pass
 };
 
 }  // namespace aspenwick::place
--- a/src/place/quota.cpp
+++ b/src/place/quota.cpp
@@ -22,13 +22,12 @@
   if (!t) return false;
   auto it = view_.team_usage.find(j.spec->team);
   const Resources after = (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need;
-  // Something must be guaranteed of what the job mainly takes; 0 means no guarantee.
+  // A guarantee must exist for the job's main resource (GPUs if it needs any); 0 means none.
   if ((j.spec->need.gpus > 0 ? t->guaranteed.gpus : t->guaranteed.cpus) == 0) return false;
   return (t->guaranteed.cpus == 0 || after.cpus <= t->guaranteed.cpus) &&
          (t->guaranteed.gpus == 0 || after.gpus <= t->guaranteed.gpus);
 }
 
-/// Another team's work that it runs beyond its own guarantee, of the kind that is wanted.
 bool Quota::is_borrowed(const Job& j, const TaskAttempt& p) const {
   if (p.team.empty() || p.team == j.spec->team) return false;
   const wire::Team* t = team(p.team);
--- a/src/place/quota.h
+++ b/src/place/quota.h
@@ -1,4 +1,5 @@
-// Teams' limits and guarantees, counting tasks in flight and stopping.
+// Teams' limits and guarantees. Usage counts all attempts that are, or may be, on machines, including those
+// being halted.
 #pragma once
 #include <string>
 
@@ -7,13 +8,19 @@
 
 namespace aspenwick::place {
 
+/// Quota checks against the team usage of one share. The settings and the view must outlive it.
 class Quota {
  public:
   Quota(const wire::PlatformSettings& platform, const ClusterView& view) : platform_(platform), view_(view) {}
 
+  /// The team's settings, or null if there is no such team.
   const wire::Team* team(const std::string& name) const;
+  /// Whether `tasks` more tasks of the job stay within its team's limit; false if the team is unknown.
   bool within_limit(const Job& j, std::uint32_t tasks) const;
+  /// Whether one more task of the job stays within what its team is guaranteed.
   bool within_guarantee(const Job& j) const;
+  /// Whether the attempt is another team's, beyond that team's guarantee, and of a resource that the job
+  /// needs.
   bool is_borrowed(const Job& j, const TaskAttempt& p) const;
 
  private:
--- a/src/place/rnn.cpp
+++ b/src/place/rnn.cpp
@@ -9,10 +9,10 @@
 constexpr double kRowSum = 1.0;          // r(i), kept by renormalisation
 constexpr double kInitialQ = 0.5;        // q of every neuron before any reward
 constexpr double kConvergence = 1e-9;
-constexpr double kMergeThreshold = 1e-10;  // classes whose weights, summed up, differ by less are one
-constexpr double kTieMargin = 1e-9;        // of two q
+constexpr double kMergeThreshold = 1e-10;  // classes whose difference() is smaller are merged
+constexpr double kTieMargin = 1e-9;        // q that differ by no more are equal
 
-/// Four sums at a time: one sum would wait for each addition.
+/// Sum of q[j] * w[j]. Four partial sums avoid waiting for the latency of each addition.
 double weighted_sum(const std::vector<double>& q, const double* w) {
   double a = 0, b = 0, c = 0, d = 0;
   std::size_t j = 0;
@@ -34,7 +34,10 @@
 }
 
 double Rnn::weight(const Matrix& w, Neuron from, Neuron to) const {
-  return from == to ? 0 : w.incoming(slots_[to].class_index)[slots_[from].class_index];  // none to itself
+  return from == to
+             ? 0
+             : w.incoming(
+                   slots_[to].class_index)[slots_[from].class_index];  // a neuron has no weight to itself
 }
 
 // ---------------------------------------------------------------- classes
@@ -46,7 +49,7 @@
   return classes_.size() - 1;
 }
 
-/// An empty one; the last takes its number.
+/// Removes an empty class; the last class takes its index.
 void Rnn::remove_class(std::size_t c) {
   const std::size_t last = classes_.size() - 1;
   if (newcomer_class_plus_one_ == c + 1) newcomer_class_plus_one_ = 0;
@@ -76,7 +79,7 @@
   members.pop_back();
 }
 
-/// A machine that a lesson is about is a class of its own from then on.
+/// A machine that gets a reward differs from all others, so it needs a class of its own.
 std::size_t Rnn::separate(Neuron n) {
   const std::size_t c = slots_[n].class_index;
   if (classes_[c].members.size() == 1) {
@@ -97,7 +100,7 @@
   return own;
 }
 
-/// What tells two classes apart: all that leads into a member and all that leads out of it.
+/// Sums over all incoming and outgoing weights of a member.
 double Rnn::difference(std::size_t a, std::size_t b) const {
   double sum = 0;
   for (const Matrix* w : {&excitatory_, &inhibitory_}) {
@@ -114,7 +117,7 @@
   return sum;
 }
 
-/// Both become a; the means keep every row's sum.
+/// The merged class gets weighted means, which keep every row's sum.
 void Rnn::merge(std::size_t a, std::size_t b) {
   const double na = count(a), nb = count(b), n = na + nb;
   for (Matrix* w : {&excitatory_, &inhibitory_}) {
@@ -132,7 +135,7 @@
   classes_[a].q = (na * classes_[a].q + nb * classes_[b].q) / n;
   classes_[a].separated_at = std::min(classes_[a].separated_at, classes_[b].separated_at);
   if (newcomer_class_plus_one_ == a + 1 || newcomer_class_plus_one_ == b + 1) newcomer_class_plus_one_ = 0;
-  if (nb > na) {  // the fewer change their class's number
+  if (nb > na) {  // renumber the members of the smaller class
     std::swap(classes_[a].members, classes_[b].members);
     for (std::size_t i = 0; i < classes_[a].members.size(); ++i)
       slots_[classes_[a].members[i]].class_index = a;
@@ -142,8 +145,8 @@
   remove_class(b);
 }
 
-/// The two oldest classes are one again when nothing is left that tells them apart. Two at a time: each
-/// lesson makes one at most.
+/// Merges the two classes separated longest ago if their difference has faded. Up to two merges per call are
+/// enough, since each reward adds at most one class.
 void Rnn::merge_oldest_classes() {
   for (int i = 0; i < 2 && classes_.size() > 1; ++i) {
     std::size_t a = 0, b = 1;
@@ -161,7 +164,7 @@
   }
 }
 
-// ---------------------------------------------------------------- joining and leaving
+// ---------------------------------------------------------------- adding and removing machines
 
 Rnn::Neuron Rnn::add_machine(const std::string& machine) {
   Neuron n = static_cast<Neuron>(slots_.size());
@@ -173,14 +176,15 @@
   }
   slots_[n].machine = machine;
   const auto all = static_cast<double>(++size_);
-  // Each row gives the newcomer the 1/(2(N-1)) of a fresh network and keeps what it knew in proportion.
+  // Each row gives the new neuron 1/(2(N-1)), as in a new network, and scales its other weights to keep its
+  // sum.
   const double start = size_ > 1 ? 1.0 / (2.0 * (all - 1)) : 0;
   const double keep = size_ > 2 ? (all - 2) / (all - 1) : 0;
   for (Matrix* w : {&excitatory_, &inhibitory_})
     for (std::size_t to = 0; to < classes_.size(); ++to)
       for (std::size_t from = 0; from < classes_.size(); ++from) w->incoming(to)[from] *= keep;
-  // Newcomers are alike until the next lesson: the share that keeps the older one's entries in proportion
-  // leaves just what the younger one starts with. In a network that was taught nothing all are.
+  // Machines added between two rewards are equal: scaling the entries of the one added first leaves exactly
+  // what the next one starts with. In an untrained network all machines are.
   if (!trained_ && !classes_.empty()) newcomer_class_plus_one_ = 1;
   if (newcomer_class_plus_one_ == 0) newcomer_class_plus_one_ = add_class() + 1;
   const std::size_t c = newcomer_class_plus_one_ - 1;
@@ -198,7 +202,7 @@
   slots_[n].machine.clear();
   free_neurons_.push_back(n);
   if (--size_ == 0) trained_ = false, merge_error_ = 0;
-  if (trained_) newcomer_class_plus_one_ = 0;  // the next one's entries start from other sums
+  if (trained_) newcomer_class_plus_one_ = 0;  // entries of the next added machine start from other sums
   ++event_count_;
   renormalise();
 }
@@ -209,7 +213,7 @@
   if (!(goal > 0) || !std::isfinite(goal)) return;
   const double reward = 1.0 / goal;
   threshold_ = settings_.past_weight * threshold_ + (1 - settings_.past_weight) * reward;
-  if (size_ < 3) return;  // nothing to choose by q, and N-2 would be zero
+  if (size_ < 3) return;  // q is not used, and N-2 would be 0
   const bool good = reward >= threshold_;
   Matrix& into_this = good ? excitatory_ : inhibitory_;
   Matrix& into_others = good ? inhibitory_ : excitatory_;
@@ -249,13 +253,13 @@
   if (!q_stale_) return;
   q_stale_ = false;
   const std::size_t m = classes_.size();
-  std::vector<double> excited(m);  // all members together
+  std::vector<double> excited(m);  // q summed over the members
   for (std::size_t c = 0; c < m; ++c) excited[c] = count(c) * classes_[c].q;
   for (int sweep = 0; sweep < settings_.max_sweeps; ++sweep) {
     double max_change = 0;
     for (std::size_t c = 0; c < m; ++c) {
       const double *plus = excitatory_.incoming(c), *minus = inhibitory_.incoming(c);
-      const double old = classes_[c].q;  // a member has no weight to itself
+      const double old = classes_[c].q;  // subtracted below: no weight to itself
       const double q = std::min(1.0, (kExternalInput + weighted_sum(excited, plus) - old * plus[c]) /
                                          (kRowSum + weighted_sum(excited, minus) - old * minus[c]));
       max_change = std::max(max_change, std::abs(q - old));
@@ -276,7 +280,7 @@
   round_robin_credit_ += settings_.round_robin_fraction;
   if (size_ < 3 || round_robin_credit_ >= 1 - 1e-9) {
     if (size_ >= 3) round_robin_credit_ -= 1;
-    // The next candidate after the last one served in turn, in name order.
+    // The next candidate by name after the last one chosen in turn, wrapping around.
     const auto name = [&](std::size_t c) -> const std::string& { return slots_[candidates[c]].machine; };
     std::size_t next = candidates.size(), first = 0;
     for (std::size_t c = 0; c < candidates.size(); ++c) {
--- a/src/place/rnn.h
+++ b/src/place/rnn.h
@@ -1,9 +1,10 @@
-// The random neural network of the TAP paper (section 5) over the machines of one share.
+// The random neural network of the TAP paper (section 5), with one neuron for each machine of a share. It
+// learns from the run times of finished tasks which machine to prefer.
 //
-// Kept by classes of machines that the equations cannot tell apart: those that no lesson has been about, or
-// about which the lessons have faded (every lesson rescales all rows and leaves a third of what they held).
-// Within a class all weights, and so all q, are the same; a network of thousands of machines is one of some
-// thirty classes. docs/design/learner-at-size.md has the ways weighed and why this one is exact.
+// Weights are stored by classes of machines that the equations cannot tell apart: machines that no reward was
+// for, or whose rewards have faded (each reward rescales all rows and leaves a third of what they held).
+// Within a class all weights, and so all q, are equal; a network of thousands of machines has about thirty
+// classes. docs/design/learner-at-size.md compares the alternatives and shows that this one is exact.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,55 +16,58 @@
 
 struct RnnSettings {
   double past_weight = 0.8;            // a: weight of the past in the threshold T
-  double round_robin_fraction = 0.10;  // share of decisions made in turn
-  int max_sweeps = 30;                 // at most, of the fixed-point iteration for q
-  bool relative_goals = true;  // G is run time over the job's mean; else the plain run time in seconds
+  double round_robin_fraction = 0.10;  // fraction of choices made in turn, not by q
+  int max_sweeps = 30;                 // iterations of the fixed-point solver for q
+  bool relative_goals = true;          // goal G is run time over the job's mean; else run time in seconds
 };
 
+/// The random neural network of one share.
 class Rnn {
  public:
-  /// A machine's neuron, from its joining to its leaving; small numbers, used again.
+  /// Identifies a machine's neuron until the machine is removed. Numbers are small and reused.
   using Neuron = std::uint32_t;
-  /// More classes than this are not kept: the two that the fewest lessons tell apart are taken for one, and
-  /// what they differ by is added to drift().
+  /// Beyond this number, the two classes that were separated longest ago are merged although they differ, and
+  /// the difference is added to merge_error().
   static constexpr std::size_t kMaxClasses = 96;
 
   explicit Rnn(RnnSettings settings = {}) : settings_(settings) {}
 
-  /// Joining and leaving keep what was learnt of the other machines. O(classes squared).
+  /// Adding and removing a machine keeps what was learnt about the others. O(classes squared).
   Neuron add_machine(const std::string& machine);
   void remove_machine(Neuron n);
 
-  /// A finished task's goal (smaller is better) at a machine; goals that are not positive are ignored.
-  /// O(classes squared), however many machines there are.
+  /// Learns from the goal (smaller is better) that a finished task reached on a machine. Goals that are not
+  /// positive and finite are ignored. O(classes squared), independent of the number of machines.
   void learn(Neuron n, double goal);
 
   std::size_t size() const { return size_; }
   std::size_t classes() const { return classes_.size(); }
+  /// Probability that the machine's neuron is excited; higher is better.
   double q(Neuron n) const;
   double threshold() const { return threshold_; }
   double excitatory(Neuron from, Neuron to) const { return weight(excitatory_, from, to); }
   double inhibitory(Neuron from, Neuron to) const { return weight(inhibitory_, from, to); }
-  /// At most how far a row's weights, summed up, are from those of the equations.
+  /// Upper bound of the summed difference between a row's weights and those of the unmerged equations.
   double merge_error() const { return merge_error_; }
 
-  /// Picks one of the candidates (non-empty), an index into them: the highest q, or in turn for the
-  /// round-robin slice and for shares under three machines. Candidates' order breaks ties.
+  /// Returns the index of the chosen candidate (there must be one): the one with the highest q, with ties
+  /// broken by their order; or the next in turn, for the round-robin fraction and in networks of fewer than
+  /// three machines.
   std::size_t choose(std::span<const Neuron> candidates);
 
  private:
   struct NeuronSlot {
     std::string machine;
-    std::size_t class_index = 0;   // its class
-    std::size_t member_index = 0;  // among the class's members
+    std::size_t class_index = 0;   // of its class
+    std::size_t member_index = 0;  // within the class's members
   };
   struct NeuronClass {
     std::vector<Neuron> members;
-    std::uint64_t separated_at =
-        0;  // the last event that set it apart; the oldest hold the least of their own
+    /// event_count_ when it was last separated. The classes with the lowest have faded the most.
+    std::uint64_t separated_at = 0;
     double q = 0;
   };
-  /// Weights by the class that they lead into, [to][from]: q sums over these.
+  /// Weights between classes, stored as [to][from], since q sums over incoming weights.
   struct Matrix {
     std::size_t capacity = 0;
     std::vector<double> values;
@@ -77,24 +81,28 @@
   void remove_class(std::size_t c);
   void add_member(Neuron n, std::size_t c);
   void remove_member(Neuron n);
+  /// Gives the neuron a class of its own and returns that class.
   std::size_t separate(Neuron n);
   void renormalise();
+  /// Sum of the differences between the weights of the members of two classes.
   double difference(std::size_t a, std::size_t b) const;
+  /// Merges class b into class a.
   void merge(std::size_t a, std::size_t b);
   void merge_oldest_classes();
+  /// Solves q if weights have changed since.
   void solve() const;
 
   RnnSettings settings_;
   std::vector<NeuronSlot> slots_;
   std::vector<Neuron> free_neurons_;
   std::size_t size_ = 0;
-  mutable std::vector<NeuronClass> classes_;  // mutable: q
+  mutable std::vector<NeuronClass> classes_;  // mutable for q, which is solved lazily
   Matrix excitatory_, inhibitory_;
-  std::size_t newcomer_class_plus_one_ =
-      0;  // class of those that joined since the last lesson or leaving, plus one
-  std::uint64_t event_count_ = 0;
-  bool trained_ = false;
-  mutable bool q_stale_ = false;  // learnt since q was solved; solved again when a choice needs it
+  /// The class of the machines added since the last reward or removal, plus one; 0: none.
+  std::size_t newcomer_class_plus_one_ = 0;
+  std::uint64_t event_count_ = 0;  // rewards and removals
+  bool trained_ = false;           // a reward was learnt since the network was last empty
+  mutable bool q_stale_ = false;   // weights changed since q was solved; solved again when q is needed
   double threshold_ = 1.0;
   double merge_error_ = 0;
   double round_robin_credit_ = 0;
