--- a/src/place/decision.cpp
+++ b/src/place/decision.cpp
@@ -103,8 +103,8 @@
   if (!job || job->cancelled || job->finished) return StartRefusal::job_over;
   if (job->done.test(attempt.index)) return StartRefusal::task_done;
   const auto active = job->active.find(attempt.index);
-  const bool is_the_active_one = active != job->active.end() && active->second == &machine;
-  if (!is_the_active_one || view.stray_attempts.contains({attempt.job_id, attempt.index}))
+  const bool is_active_attempt = active != job->active.end() && active->second == &machine;
+  if (!is_active_attempt || view.stray_attempts.contains({attempt.job_id, attempt.index}))
     return StartRefusal::other_attempt;
   return StartRefusal::none;
 }
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -77,7 +77,7 @@
 /// algorithm): goes through the jobs in the order of their slack and, whenever one would be late, defers the
 /// largest so far. Ordered by deadline alone, nearly all would be a little late. Returns the deferred jobs.
 std::vector<WaitingJob*> select_deferred(const std::vector<WaitingJob*>& jobs, double slots) {
-  std::vector<WaitingJob*> kept, out;
+  std::vector<WaitingJob*> kept, deferred;
   double work = 0;
   for (WaitingJob* w : jobs) {
     kept.push_back(w);
@@ -86,12 +86,12 @@
       const auto largest =
           std::max_element(kept.begin(), kept.end(),
                            [](const WaitingJob* a, const WaitingJob* b) { return a->work < b->work; });
-      out.push_back(*largest);
+      deferred.push_back(*largest);
       work -= (*largest)->work;
       kept.erase(largest);
     }
   }
-  return out;
+  return deferred;
 }
 
 /// A job that is too late for its deadline gets its class's objective for the end as its target, and stays in
@@ -100,9 +100,9 @@
 /// within 350 s.
 void lower_target(WaitingJob& w, Micros now) {
   using Target = WaitingJob::Target;
-  const bool first = w.target == Target::deadline;
+  const bool had_deadline = w.target == Target::deadline;
   w.target = Target::none;
-  if (!first || w.job->finish_within == 0 || w.rank != Rank::low) return;
+  if (!had_deadline || w.job->finish_within == 0 || w.rank != Rank::low) return;
   w.slack = w.job->ready + w.job->finish_within - now - from_seconds(Placement::expected_run_seconds(*w.job));
   if (w.slack > 0) w.target = Target::objective;
 }
@@ -110,13 +110,13 @@
 
 std::vector<Job*> Placement::ordered_jobs(Micros now) const {
   using Target = WaitingJob::Target;
-  std::vector<WaitingJob> list;
+  std::vector<WaitingJob> waiting_jobs;
   for (auto& [id, j] : view_.jobs) {
     if (j->cancelled || j->finished || j->waiting() == 0) continue;
-    list.push_back({j.get(), effective_rank(*j, now), quota_.within_guarantee(*j), Target::deadline,
-                    slack(*j, now), j->waiting() * expected_run_seconds(*j)});
+    waiting_jobs.push_back({j.get(), effective_rank(*j, now), quota_.within_guarantee(*j), Target::deadline,
+                            slack(*j, now), j->waiting() * expected_run_seconds(*j)});
     // A job that can no longer meet its deadline yields to those that can.
-    if (j->finish_by && *j->finish_by - j->spec->estimate < now) lower_target(list.back(), now);
+    if (j->finish_by && *j->finish_by - j->spec->estimate < now) lower_target(waiting_jobs.back(), now);
   }
   double low_rank_slots = 0;
   for (const auto& [id, j] : view_.jobs)
@@ -124,21 +124,21 @@
       low_rank_slots += static_cast<double>(j->active.size());
   for (int round = 0; round < kMaxTargetRounds && low_rank_slots >= 1; ++round) {
     std::vector<WaitingJob*> with_target;
-    for (WaitingJob& w : list)
+    for (WaitingJob& w : waiting_jobs)
       if (w.target != Target::none && w.job->finish_by && w.rank == Rank::low) with_target.push_back(&w);
     std::sort(with_target.begin(), with_target.end(),
               [](const WaitingJob* a, const WaitingJob* b) { return placed_before(*a, *b); });
-    const auto out = select_deferred(with_target, low_rank_slots);
-    for (WaitingJob* w : out) lower_target(*w, now);
-    if (out.empty()) break;
+    const auto deferred = select_deferred(with_target, low_rank_slots);
+    for (WaitingJob* w : deferred) lower_target(*w, now);
+    if (deferred.empty()) break;
   }
-  for (WaitingJob& w : list)  // without a target, jobs with the fewest waiting tasks come first
+  for (WaitingJob& w : waiting_jobs)  // without a target, jobs with the fewest waiting tasks come first
     if (w.target == Target::none) w.slack = static_cast<Micros>(w.job->waiting());
-  std::sort(list.begin(), list.end(), placed_before);
-  std::vector<Job*> out;
-  out.reserve(list.size());
-  for (const auto& w : list) out.push_back(w.job);
-  return out;
+  std::sort(waiting_jobs.begin(), waiting_jobs.end(), placed_before);
+  std::vector<Job*> ordered;
+  ordered.reserve(waiting_jobs.size());
+  for (const auto& w : waiting_jobs) ordered.push_back(w.job);
+  return ordered;
 }
 
 std::optional<std::uint32_t> Placement::next_task(Job& j) {
@@ -154,8 +154,8 @@
 void Placement::update_wait(Job& j, Micros now) const {
   const std::uint32_t tasks = j.spec->shape == Shape::gang ? j.spec->tasks : 1;
   if (now < j.not_before || !placement_allowed(j) || !quota_.within_limit(j, tasks)) j.waiting_since = now;
-  const Micros waits = now - std::max(j.ready, j.waiting_since);
-  j.passed_over = waits >= kPassedOverAfter, j.any_room = waits >= kAnyRoomAfter;
+  const Micros waited = now - std::max(j.ready, j.waiting_since);
+  j.passed_over = waited >= kPassedOverAfter, j.any_room = waited >= kAnyRoomAfter;
 }
 
 void Placement::collect_unaccounted() {
@@ -205,8 +205,8 @@
   const JobKind& kind = j.kind->first;
   if ((kind.zone >= 0 && kind.zone != m.zone) || !kind.types[m.type_index]) return false;
   if (j.avoided_machines.empty()) return true;
-  const auto bad = j.avoided_machines.find(m.record.id);
-  return bad == j.avoided_machines.end() || bad->second <= now;
+  const auto avoided = j.avoided_machines.find(m.record.id);
+  return avoided == j.avoided_machines.end() || avoided->second <= now;
 }
 
 bool Placement::fits(const Job& j, const Machine& m, const Resources& free) const {
@@ -341,10 +341,11 @@
                                (cheap_only && failed_cheap.covers(capacity_version, j.spec->need));
     if (known_to_fail && !j.any_room) return false;
     find_candidates(j, candidates, now);
-    const bool none = candidates.machines.empty();
-    if (applies_to_kind && none) failed.record(capacity_version, j.spec->need);
-    if (applies_to_kind && !none && candidates.tier > 0) failed_cheap.record(capacity_version, j.spec->need);
-    if (none) return false;
+    const bool none_found = candidates.machines.empty();
+    if (applies_to_kind && none_found) failed.record(capacity_version, j.spec->need);
+    if (applies_to_kind && !none_found && candidates.tier > 0)
+      failed_cheap.record(capacity_version, j.spec->need);
+    if (none_found) return false;
   }
   if (cheap_only && candidates.tier > 0) return false;
   const std::size_t chosen = rnn_.choose(candidates.neurons);
@@ -392,10 +393,10 @@
     if (z.second >= j.spec->tasks) found.emplace_back(z.second, z.first);
   std::stable_sort(found.begin(), found.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
-  std::vector<int> out;
-  out.reserve(found.size());
-  for (const auto& [n, zone] : found) out.push_back(zone);
-  return out;
+  std::vector<int> zones;
+  zones.reserve(found.size());
+  for (const auto& [n, zone] : found) zones.push_back(zone);
+  return zones;
 }
 
 bool Placement::place_gang(Job& j, Micros now, int min_availability) {
@@ -452,14 +453,14 @@
   const Micros elapsed = j.first_started_at > 0 ? now - j.first_started_at : 0;
   if (!on_demand) return false;
   // Submitted estimates are too low as often as too high.
-  const Micros left = std::max(j.spec->estimate - elapsed, elapsed / 3);
+  const Micros remaining = std::max(j.spec->estimate - elapsed, elapsed / 3);
   // Not if the move could make it miss its objective.
   for (const auto& o : platform_.objectives)
     if (o.kind == "finished" && o.job_class == j.spec->job_class) {
-      const Micros spare = j.ready + o.within - now - left;
-      if (spare > 0 && spare < left / 2 + kMoveDuration * 2) return false;
+      const Micros spare = j.ready + o.within - now - remaining;
+      if (spare > 0 && spare < remaining / 2 + kMoveDuration * 2) return false;
     }
-  return left > kMinRemainingToMove;
+  return remaining > kMinRemainingToMove;
 }
 
 /// On-demand machines with GPUs cost several times as much as spot ones. When spot machines are free, a gang
@@ -543,9 +544,9 @@
   const bool guaranteed = view_.rebuilt && quota_.within_guarantee(j);
   if (guaranteed && j.rank < Rank::high) {  // preempt other teams' work for the guaranteed part only
     const auto& g = quota_.team(j.spec->team)->guaranteed;
-    const auto& use = view_.team_usage[j.spec->team];
-    missing = std::min(missing, j.spec->need.gpus > 0 ? (g.gpus - use.gpus) / j.spec->need.gpus
-                                                      : (g.cpus - use.cpus) / j.spec->need.cpus);
+    const auto& usage = view_.team_usage[j.spec->team];
+    missing = std::min(missing, j.spec->need.gpus > 0 ? (g.gpus - usage.gpus) / j.spec->need.gpus
+                                                      : (g.cpus - usage.cpus) / j.spec->need.cpus);
   }
   if (!quota_.within_limit(j, 1)) return Preemption::none;
   const bool applies_to_kind = !j.spec->spread && !j.spec->one_zone && j.avoided_machines.empty() &&
--- a/src/place/quota.cpp
+++ b/src/place/quota.cpp
@@ -12,20 +12,21 @@
   const wire::Team* t = team(j.spec->team);
   if (!t) return false;
   auto it = view_.team_usage.find(j.spec->team);
-  const Resources after = (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need * tasks;
-  return (t->limit.cpus == 0 || j.spec->need.cpus == 0 || after.cpus <= t->limit.cpus) &&
-         (t->limit.gpus == 0 || j.spec->need.gpus == 0 || after.gpus <= t->limit.gpus);
+  const Resources usage_after =
+      (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need * tasks;
+  return (t->limit.cpus == 0 || j.spec->need.cpus == 0 || usage_after.cpus <= t->limit.cpus) &&
+         (t->limit.gpus == 0 || j.spec->need.gpus == 0 || usage_after.gpus <= t->limit.gpus);
 }
 
 bool Quota::within_guarantee(const Job& j) const {
   const wire::Team* t = team(j.spec->team);
   if (!t) return false;
   auto it = view_.team_usage.find(j.spec->team);
-  const Resources after = (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need;
+  const Resources usage_after = (it == view_.team_usage.end() ? Resources{} : it->second) + j.spec->need;
   // A guarantee must exist for the job's main resource (GPUs if it needs any); 0 means none.
   if ((j.spec->need.gpus > 0 ? t->guaranteed.gpus : t->guaranteed.cpus) == 0) return false;
-  return (t->guaranteed.cpus == 0 || after.cpus <= t->guaranteed.cpus) &&
-         (t->guaranteed.gpus == 0 || after.gpus <= t->guaranteed.gpus);
+  return (t->guaranteed.cpus == 0 || usage_after.cpus <= t->guaranteed.cpus) &&
+         (t->guaranteed.gpus == 0 || usage_after.gpus <= t->guaranteed.gpus);
 }
 
 bool Quota::is_borrowed(const Job& j, const TaskAttempt& p) const {
--- a/src/place/rnn.cpp
+++ b/src/place/rnn.cpp
@@ -106,20 +106,20 @@
   for (const Matrix* w : {&excitatory_, &inhibitory_}) {
     for (std::size_t k = 0; k < classes_.size(); ++k)
       if (k != a && k != b)
-        sum += count(k) * (std::abs(w->incoming(a)[k] - w->incoming(b)[k]) +
-                           std::abs(w->incoming(k)[a] - w->incoming(k)[b]));
-    const double between = w->incoming(a)[b], back = w->incoming(b)[a];
-    const double larger_count = std::max(count(a), count(b));
-    sum += larger_count * std::abs(between - back);
-    if (count(a) > 1) sum += larger_count * std::abs(w->incoming(a)[a] - between);
-    if (count(b) > 1) sum += larger_count * std::abs(w->incoming(b)[b] - between);
+        sum += member_count(k) * (std::abs(w->incoming(a)[k] - w->incoming(b)[k]) +
+                                  std::abs(w->incoming(k)[a] - w->incoming(k)[b]));
+    const double between = w->incoming(a)[b], reverse = w->incoming(b)[a];
+    const double larger_count = std::max(member_count(a), member_count(b));
+    sum += larger_count * std::abs(between - reverse);
+    if (member_count(a) > 1) sum += larger_count * std::abs(w->incoming(a)[a] - between);
+    if (member_count(b) > 1) sum += larger_count * std::abs(w->incoming(b)[b] - between);
   }
   return sum;
 }
 
 /// The merged class gets weighted means, which keep every row's sum.
 void Rnn::merge(std::size_t a, std::size_t b) {
-  const double na = count(a), nb = count(b), n = na + nb;
+  const double na = member_count(a), nb = member_count(b), n = na + nb;
   for (Matrix* w : {&excitatory_, &inhibitory_}) {
     const double within =
         (na * (na - 1) * w->incoming(a)[a] + na * nb * (w->incoming(a)[b] + w->incoming(b)[a]) +
@@ -175,21 +175,21 @@
     free_neurons_.pop_back();
   }
   slots_[n].machine = machine;
-  const auto all = static_cast<double>(++size_);
+  const auto machine_count = static_cast<double>(++size_);
   // Each row gives the new neuron 1/(2(N-1)), as in a new network, and scales its other weights to keep its
   // sum.
-  const double start = size_ > 1 ? 1.0 / (2.0 * (all - 1)) : 0;
-  const double keep = size_ > 2 ? (all - 2) / (all - 1) : 0;
+  const double initial_weight = size_ > 1 ? 1.0 / (2.0 * (machine_count - 1)) : 0;
+  const double kept_fraction = size_ > 2 ? (machine_count - 2) / (machine_count - 1) : 0;
   for (Matrix* w : {&excitatory_, &inhibitory_})
     for (std::size_t to = 0; to < classes_.size(); ++to)
-      for (std::size_t from = 0; from < classes_.size(); ++from) w->incoming(to)[from] *= keep;
+      for (std::size_t from = 0; from < classes_.size(); ++from) w->incoming(to)[from] *= kept_fraction;
   // Machines added between two rewards are equal: scaling the entries of the one added first leaves exactly
   // what the next one starts with. In an untrained network all machines are.
   if (!trained_ && !classes_.empty()) newcomer_class_plus_one_ = 1;
   if (newcomer_class_plus_one_ == 0) newcomer_class_plus_one_ = add_class() + 1;
   const std::size_t c = newcomer_class_plus_one_ - 1;
   for (Matrix* w : {&excitatory_, &inhibitory_})
-    for (std::size_t k = 0; k < classes_.size(); ++k) w->incoming(c)[k] = w->incoming(k)[c] = start;
+    for (std::size_t k = 0; k < classes_.size(); ++k) w->incoming(c)[k] = w->incoming(k)[c] = initial_weight;
   add_member(n, c);
   if (classes_.size() > kMaxClasses) merge_oldest_classes();
   return n;
@@ -217,15 +217,15 @@
   const bool good = reward >= threshold_;
   Matrix& into_this = good ? excitatory_ : inhibitory_;
   Matrix& into_others = good ? inhibitory_ : excitatory_;
-  const double rest = reward / static_cast<double>(size_ - 2);
+  const double reward_per_other = reward / static_cast<double>(size_ - 2);
   ++event_count_;
   trained_ = true;
   newcomer_class_plus_one_ = 0;
   const std::size_t c = separate(n);
   for (std::size_t to = 0; to < classes_.size(); ++to) {
     double* w = to == c ? into_this.incoming(to) : into_others.incoming(to);
-    const double more = to == c ? reward : rest;
-    for (std::size_t from = 0; from < classes_.size(); ++from) w[from] += more;
+    const double increment = to == c ? reward : reward_per_other;
+    for (std::size_t from = 0; from < classes_.size(); ++from) w[from] += increment;
   }
   renormalise();
   merge_oldest_classes();
@@ -237,7 +237,7 @@
   std::vector<double> scale(m, 0.0);
   for (std::size_t to = 0; to < m; ++to)
     for (std::size_t from = 0; from < m; ++from)
-      scale[from] += (count(to) - (to == from ? 1 : 0)) *
+      scale[from] += (member_count(to) - (to == from ? 1 : 0)) *
                      (excitatory_.incoming(to)[from] + inhibitory_.incoming(to)[from]);
   double max_scale = 0;
   for (double& s : scale) s = s > 0 ? kRowSum / s : 1, max_scale = std::max(max_scale, s);
@@ -254,7 +254,7 @@
   q_stale_ = false;
   const std::size_t m = classes_.size();
   std::vector<double> excited(m);  // q summed over the members
-  for (std::size_t c = 0; c < m; ++c) excited[c] = count(c) * classes_[c].q;
+  for (std::size_t c = 0; c < m; ++c) excited[c] = member_count(c) * classes_[c].q;
   for (int sweep = 0; sweep < settings_.max_sweeps; ++sweep) {
     double max_change = 0;
     for (std::size_t c = 0; c < m; ++c) {
@@ -264,7 +264,7 @@
                                          (kRowSum + weighted_sum(excited, minus) - old * minus[c]));
       max_change = std::max(max_change, std::abs(q - old));
       classes_[c].q = q;
-      excited[c] = count(c) * q;
+      excited[c] = member_count(c) * q;
     }
     if (max_change < kConvergence) return;
   }
--- a/src/place/rnn.h
+++ b/src/place/rnn.h
@@ -76,7 +76,7 @@
     void reserve(std::size_t classes_needed);
   };
   double weight(const Matrix& w, Neuron from, Neuron to) const;
-  double count(std::size_t c) const { return static_cast<double>(classes_[c].members.size()); }
+  double member_count(std::size_t c) const { return static_cast<double>(classes_[c].members.size()); }
   std::size_t add_class();
   void remove_class(std::size_t c);
   void add_member(Neuron n, std::size_t c);
