--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -141,6 +141,7 @@
   return ordered;
 }
 
+/// The next task to place, first those to be restarted; nothing if none waits.
 std::optional<std::uint32_t> Placement::next_task(Job& j) {
   if (!j.to_restart.empty()) return *j.to_restart.begin();
   while (j.next_index < j.spec->tasks && (j.done.test(j.next_index) || j.active.contains(j.next_index)))
@@ -158,6 +159,7 @@
   j.passed_over = waited >= kPassedOverAfter, j.any_room = waited >= kAnyRoomAfter;
 }
 
+/// Collects the distinct properties of the machines that are not accounted for yet.
 void Placement::collect_unaccounted() {
   unaccounted_.clear();
   if (view_.rebuilt) return;
@@ -195,6 +197,7 @@
                       [&](const UnaccountedMachine& u) { return may_hold_tasks_of(u, j); });
 }
 
+/// Whether the machine may take a task of the job now, apart from its free resources.
 bool Placement::machine_allowed(const Job& j, const Machine& m, Micros now) const {
   if (!m.type || !m.up || !m.accounted_for || m.leaving || m.reclaim_at || m.suspect_until > now)
     return false;
@@ -209,6 +212,7 @@
   return avoided == j.avoided_machines.end() || avoided->second <= now;
 }
 
+/// Whether a task of the job fits into `free` on this machine and does not block a machine kept for GPU jobs.
 bool Placement::fits(const Job& j, const Machine& m, const Resources& free) const {
   // Machines for GPU jobs take other work only if it can be preempted at once: services, gangs and higher
   // ranks would keep an expensive machine rented for a few CPUs. Jobs that have waited long (any_room) are
@@ -289,6 +293,7 @@
   return !j.spec->spread || j.active_in_zone(m.zone) < static_cast<int>((j.spec->tasks + 1) / 2);
 }
 
+/// Fills `candidates` with the machines on which the next task of the job may start, see CandidateSet.
 void Placement::find_candidates(const Job& j, CandidateSet& candidates, Micros now) const {
   struct Found {
     Machine* machine;
@@ -324,6 +329,9 @@
   for (const Machine* m : candidates.machines) candidates.neurons.push_back(m->neuron);
 }
 
+/// Places one task on a machine that the learner chooses among `candidates`, which are searched for if there
+/// are none. Returns false if it could not be placed; `cheap_only`: not on machines above the lowest cost
+/// tier.
 bool Placement::place_task(Job& j, std::uint32_t index, std::uint64_t attempt, bool cheap_only, Micros now,
                            CandidateSet& candidates) {
   if (!quota_.within_limit(j, 1)) return false;
@@ -399,6 +407,7 @@
   return zones;
 }
 
+/// Places all tasks of the gang that are not done, or none.
 bool Placement::place_gang(Job& j, Micros now, int min_availability) {
   // All tasks of the previous attempt must be gone before the next one starts.
   if (!j.active.empty() || !quota_.within_limit(j, j.spec->tasks)) return false;
@@ -538,6 +547,8 @@
   return true;
 }
 
+/// Preempts tasks of lower rank, or other teams' borrowed resources within the own guarantee, on the one
+/// machine where that loses the least work and makes room for a task of the job.
 Placement::Preemption Placement::preempt_for(Job& j, Micros now, int min_availability) {
   std::int64_t missing = j.waiting();
   // Tasks that are not accounted for may count against the guarantee, so it is used only on a rebuilt share.
--- a/src/place/rnn.cpp
+++ b/src/place/rnn.cpp
@@ -232,6 +232,7 @@
   q_stale_ = true;
 }
 
+/// Scales each row to the sum kRowSum, and merge_error_ by the largest factor.
 void Rnn::renormalise() {
   const std::size_t m = classes_.size();
   std::vector<double> scale(m, 0.0);
@@ -249,6 +250,8 @@
 
 // ---------------------------------------------------------------- choosing
 
+/// Iterates q = excitation / (rate + inhibition) from the previous solution until it changes by less than
+/// kConvergence, or max_sweeps times.
 void Rnn::solve() const {
   if (!q_stale_) return;
   q_stale_ = false;
