--- a/src/place/cluster_view.cpp
+++ b/src/place/cluster_view.cpp
@@ -201,7 +201,7 @@
   if (auto shared = known.lock()) return shared;
   auto made = std::make_shared<std::pair<const JobKind, FailedSearches>>(kind, FailedSearches{});
   known = made;
-  if (kinds_.size() >= kinds_purge_size_) {  // remove kinds without jobs; the next sweep is at twice the size
+  if (kinds_.size() >= kinds_purge_size_) {  // remove kinds without jobs, then let the number double
     std::erase_if(kinds_, [](const auto& k) { return k.second.expired(); });
     kinds_purge_size_ = 64 + 2 * kinds_.size();
   }
--- a/src/place/cluster_view.h
+++ b/src/place/cluster_view.h
@@ -35,7 +35,7 @@
 struct MachineRecord {
   std::string id, address, type, zone;
   bool spot = false;
-  int share = -1;           // -1: no share; the leader deletes the machine
+  int share = -1;           // -1: to be deleted by the leader
   std::uint64_t epoch = 0;  // lowest epoch whose owner may send it orders
   std::uint64_t version = 0;
 };
@@ -104,8 +104,8 @@
   Micros grace = 0;              // time to save its work when halted
   bool sent_by_push = false;     // started by a pushed order, not by one in the answer to a report
   std::uint64_t answer_seq = 0;  // sequence number of the report whose answer held the start order
-  std::uint64_t fence_token =
-      0;  // the start order may still arrive until a report shows this token; 0: no doubt
+  /// Until a report shows this token, the start order may still arrive late; 0: not in doubt.
+  std::uint64_t fence_token = 0;
   Micros started_at = 0, running_since = 0, halt_sent_at = 0;
 };
 /// Job id and task index.
@@ -132,7 +132,7 @@
   bool spot = false;                               // copy of record.spot
   wire::Rank reserved_for_rank = wire::Rank::low;  // until reserved_until, lower ranks are not placed here
   Micros suspect_until = 0, drain_until = 0, reserved_until = 0;
-  std::optional<Micros> reclaim_at;  // when the cloud takes the spot machine back, once announced
+  std::optional<Micros> reclaim_at;  // when the cloud takes the machine back, once announced
   Micros lease_expires_at = 0;       // from then on no task can be left, unless the lease is renewed
   MachineRecord record;
   std::map<TaskKey, TaskAttempt> tasks;
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -150,8 +150,7 @@
   return j.next_index;
 }
 
-/// Updates how long none of the job's tasks was started although it could have been, and the flags that
-/// follow.
+/// Updates since when the job waits although it could be placed, and the flags that depend on it.
 void Placement::update_wait(Job& j, Micros now) const {
   const std::uint32_t tasks = j.spec->shape == Shape::gang ? j.spec->tasks : 1;
   if (now < j.not_before || !placement_allowed(j) || !quota_.within_limit(j, tasks)) j.waiting_since = now;
--- a/src/place/rnn.h
+++ b/src/place/rnn.h
@@ -14,6 +14,7 @@
 
 namespace aspenwick::place {
 
+/// Settings `learner.*` of the operator.
 struct RnnSettings {
   double past_weight = 0.8;            // a: weight of the past in the threshold T
   double round_robin_fraction = 0.10;  // fraction of choices made in turn, not by q
@@ -21,7 +22,7 @@
   bool relative_goals = true;          // goal G is run time over the job's mean; else run time in seconds
 };
 
-/// The random neural network of one share.
+/// Keeps one neuron for each machine of a share and chooses machines by their q.
 class Rnn {
  public:
   /// Identifies a machine's neuron until the machine is removed. Numbers are small and reused.
@@ -58,7 +59,7 @@
  private:
   struct NeuronSlot {
     std::string machine;
-    std::size_t class_index = 0;   // of its class
+    std::size_t class_index = 0;
     std::size_t member_index = 0;  // within the class's members
   };
   struct NeuronClass {
@@ -89,7 +90,7 @@
   /// Merges class b into class a.
   void merge(std::size_t a, std::size_t b);
   void merge_oldest_classes();
-  /// Solves q if weights have changed since.
+  /// Solves q if a reward was learnt since the last time.
   void solve() const;
 
   RnnSettings settings_;
@@ -102,7 +103,7 @@
   std::size_t newcomer_class_plus_one_ = 0;
   std::uint64_t event_count_ = 0;  // rewards and removals
   bool trained_ = false;           // a reward was learnt since the network was last empty
-  mutable bool q_stale_ = false;   // weights changed since q was solved; solved again when q is needed
+  mutable bool q_stale_ = false;   // a reward was learnt since q was solved; solved again when needed
   double threshold_ = 1.0;
   double merge_error_ = 0;
   double round_robin_credit_ = 0;
