--- a/src/place/delivery_tracker.h
+++ b/src/place/delivery_tracker.h
@@ -26,9 +26,9 @@
     else if (answer_outstanding_)
       ++lost_answers_;
     answer_outstanding_ = false;
-    const bool proven = doubt_token_ != 0 && token >= doubt_token_;
-    if (proven) doubt_token_ = 0;
-    return proven;
+    const bool doubt_ended = doubt_token_ != 0 && token >= doubt_token_;
+    if (doubt_ended) doubt_token_ = 0;
+    return doubt_ended;
   }
   /// The machine's report was answered.
   void on_answer_sent() { answer_outstanding_ = true; }
--- a/src/place/rnn.cpp
+++ b/src/place/rnn.cpp
@@ -33,11 +33,9 @@
   values = std::move(grown), capacity = new_capacity;
 }
 
+/// A neuron has no weight to itself.
 double Rnn::weight(const Matrix& w, Neuron from, Neuron to) const {
-  return from == to
-             ? 0
-             : w.incoming(
-                   slots_[to].class_index)[slots_[from].class_index];  // a neuron has no weight to itself
+  return from == to ? 0 : w.incoming(slots_[to].class_index)[slots_[from].class_index];
 }
 
 // ---------------------------------------------------------------- classes
