--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -259,7 +259,7 @@
                    sum.free.gpus / 1'000'000, sum.total.gpus / 1'000'000);
     spdlog::info("metrics: share {} waiting tasks {}", share, owned.controller->waiting_tasks());
     spdlog::info("metrics: share {} attempts freed:{}", share,
-                 format_counts<place::Freed>(owned.controller->freed_attempts()));
+                 format_counts<place::FreeReason>(owned.controller->freed_attempts()));
     spdlog::info("metrics: share {} starts refused:{}", share,
                  format_counts<place::StartRefusal>(owned.controller->refused_starts()));
     log_result_metrics(share, *owned.controller);
--- a/src/app/operator_settings.cpp
+++ b/src/app/operator_settings.cpp
@@ -40,16 +40,16 @@
   auto add_seconds = [&](const std::string& key, Micros& to, double min, double max) {
     setters[key] = [=, &to](const YAML::Node& node) { to = from_seconds(parse_number(key, node, min, max)); };
   };
-  add_number("learner.memory", settings.rnn.memory, 0.01, 0.99);
-  add_number("learner.round_robin", settings.rnn.round_robin, 0, 1);
+  add_number("learner.memory", settings.rnn.past_weight, 0.01, 0.99);
+  add_number("learner.round_robin", settings.rnn.round_robin_fraction, 0, 1);
   setters["learner.sweeps"] = [&settings](const YAML::Node& node) {
-    settings.rnn.sweeps = static_cast<int>(parse_number("learner.sweeps", node, 1, 100));
+    settings.rnn.max_sweeps = static_cast<int>(parse_number("learner.sweeps", node, 1, 100));
   };
   setters["learner.goal"] = [&settings](const YAML::Node& node) {
     const auto goal = node.IsScalar() ? node.Scalar() : "";
     if (goal != "relative" && goal != "seconds")
       throw InvalidSettings("operator settings: invalid value: learner.goal (relative or seconds)");
-    settings.rnn.normalise = goal == "relative";
+    settings.rnn.relative_goals = goal == "relative";
   };
   add_seconds("renting.idle_after_s", settings.renting.idle_after, 0, 3600);
   add_seconds("renting.idle_gpu_after_s", settings.renting.idle_gpu_after, 0, 3600);
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -163,9 +163,9 @@
 void OwnedShares::create_controller(int share, const OwnerKey& key) {
   std::uint64_t& last = last_epochs_[share];
   if (key.epoch < last)
-    return place::violated(place::Invariant::epochs_rise, "share " + std::to_string(share) + ": epoch " +
-                                                              std::to_string(key.epoch) + " after " +
-                                                              std::to_string(last));
+    return place::report_violation(place::Invariant::epochs_rise, "share " + std::to_string(share) +
+                                                                      ": epoch " + std::to_string(key.epoch) +
+                                                                      " after " + std::to_string(last));
   last = key.epoch;
   OwnedShare& owned = owned_[share];
   owned.epoch = key.epoch;
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -53,7 +53,7 @@
       lookup_job_(std::move(lookup)),
       taken_over_at_(now),
       placement_(platform, types, view_, settings.rnn, epoch) {
-  for (const auto& z : platform.zones) zone_ids_.push_back(view_.zone(z));
+  for (const auto& z : platform.zones) zone_ids_.push_back(view_.zone_index(z));
 }
 
 /// Returns the time by which a worker's lease has certainly expired if it was last renewed by an answer sent
@@ -68,13 +68,13 @@
   return std::max(epoch_, m.record.epoch) << place::kEpochShift;
 }
 /// Returns the token that messages to the machine carry now.
-std::uint64_t ShareController::current_token(const Machine& m) const { return min_token(m) + m.bump; }
+std::uint64_t ShareController::current_token(const Machine& m) const { return min_token(m) + m.token_offset; }
 
 void ShareController::raise_epoch(std::uint64_t epoch) {
   if (epoch <= epoch_) return;
   epoch_ = epoch;
   placement_.raise_epoch(epoch);
-  view_.gained();
+  view_.note_new_capacity();
 }
 
 // ---------------------------------------------------------------- events
@@ -91,8 +91,8 @@
     for (const auto& [index, m] : active) {
       auto p = m->tasks.find({id, index});
       if (p == m->tasks.end()) continue;
-      if (p->second.phase == Phase::assigned)
-        view_.drop(*m, p, now, Freed::job_over);
+      if (p->second.phase == AttemptPhase::assigned)
+        view_.free_attempt(*m, p, now, FreeReason::job_over);
       else
         view_.halt(p->second, 0);
     }
@@ -118,13 +118,13 @@
   j->ready = j->submitted;
   j->rank = record.spec->rank;
   if (record.spec->deadline) j->finish_by = j->submitted + *record.spec->deadline;
-  j->waits_since = now;
-  j->fresh = fresh;
+  j->waiting_since = now;
+  j->accepted_since_takeover = fresh;
   note_gpu_job(*record.spec);
   j->done = DoneSet(record.spec->tasks);
   j->recorded = j->recorded_whole = j->done;
   Job& known = *view_.jobs.emplace(id, std::move(j)).first->second;
-  ++view_.changes;
+  ++view_.change_count;
   const auto rows = rows_of_unplanned_jobs_.extract(id);
   if (rows)
     for (const auto& [row, read] : rows.mapped()) load_done(id, row, read.text, read.version);
@@ -138,10 +138,10 @@
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
-  ++view_.changes;
+  ++view_.change_count;
   if (j.rank != course.rank) {
     j.rank = course.rank;
-    for (const auto& [index, m] : j.active) m->load_stale = true;
+    for (const auto& [index, m] : j.active) m->task_summary_stale = true;
   }
   j.ready = std::max(j.submitted, now - std::max<Micros>(0, time_of_day - course.ready));
   j.finish_by.reset();
@@ -155,7 +155,7 @@
 
 void ShareController::on_machine_record(const MachineRecord& record, bool handed_empty, Micros now) {
   const bool added = !view_.machines.contains(record.id);
-  Machine& m = view_.join(record);
+  Machine& m = view_.add_machine(record);
   if (!added) return;
   for (std::size_t i = 0; i < types_.size(); ++i)
     if (types_[i].name == record.type) m.type = &types_[i], m.type_index = i;
@@ -163,19 +163,19 @@
   // A machine recorded before the takeover may hold any attempt until it reports under our token, or until
   // the lease that a former owner could last have renewed has expired. A machine that joins later was empty
   // when it was handed over.
-  m.handed_empty = handed_empty;
-  m.lapse_at = latest_lease_end(handed_empty ? now : std::max(now, renewable_until_));
+  m.handed_over_empty = handed_empty;
+  m.lease_expires_at = latest_lease_end(handed_empty ? now : std::max(now, renewable_until_));
   m.idle_since = now;
   m.gpu_idle_since = now;
-  m.neuron = placement_.rnn().join(record.id);
+  m.neuron = placement_.rnn().add_machine(record.id);
 }
 
 void ShareController::on_machine_removed(const std::string& id, Micros now) {
   auto it = view_.machines.find(id);
   if (it == view_.machines.end()) return;
-  drop_all_attempts(it->second, now, Freed::left_share);
-  placement_.rnn().leave(it->second.neuron);
-  view_.leave(it);
+  drop_all_attempts(it->second, now, FreeReason::left_share);
+  placement_.rnn().remove_machine(it->second.neuron);
+  view_.remove_machine(it);
   update_rebuilt(now);
 }
 
@@ -185,7 +185,7 @@
 void ShareController::update_rebuilt(Micros) {
   if (view_.rebuilt || !loaded_) return;
   for (const auto& [id, m] : view_.machines)
-    if ((!m.accounted && !m.handed_empty) || awaits_job_records(m)) return;
+    if ((!m.accounted_for && !m.handed_over_empty) || awaits_job_records(m)) return;
   view_.rebuilt = true;
   spdlog::info("share {}: all machines accounted for: {} machines, {} jobs", settings_.share,
                view_.machines.size(), view_.jobs.size());
@@ -197,8 +197,8 @@
   logged_unaccounted_machines_ = true;
   std::size_t unaccounted = 0;
   const Machine* first = nullptr;
-  for (const Machine* m : view_.all)
-    if (!m->accounted && !m->handed_empty && ++unaccounted == 1) first = m;
+  for (const Machine* m : view_.machines_by_id)
+    if (!m->accounted_for && !m->handed_over_empty && ++unaccounted == 1) first = m;
   if (first)
     spdlog::info("share {}: {} of {} machines not accounted for yet, the first is {} ({}, {}{})",
                  settings_.share, unaccounted, view_.machines.size(), first->record.id, first->record.type,
@@ -209,20 +209,21 @@
   if (!loaded_) return false;
   log_unaccounted_machines(now);
   resolve_unattributed_attempts(now);
-  for (Machine* entry : view_.all) {
+  for (Machine* entry : view_.machines_by_id) {
     Machine& m = *entry;
-    if (now >= m.lapse_at && (m.up || !m.accounted)) {
-      drop_all_attempts(m, now, Freed::lease_expired);
+    if (now >= m.lease_expires_at && (m.up || !m.accounted_for)) {
+      drop_all_attempts(m, now, FreeReason::lease_expired);
       m.up = false;
-      m.accounted = true;
-      view_.gained();
+      m.accounted_for = true;
+      view_.note_new_capacity();
       update_rebuilt(now);
     }
     measure_result_wait(m, now);
-    if (m.drain_until > 0 && now >= m.drain_until) m.drain_until = 0, m.drain_to = -2, view_.gained();
-    if (m.taken_at)  // tasks with checkpoints save their state before the cloud takes the machine back
+    if (m.drain_until > 0 && now >= m.drain_until)
+      m.drain_until = 0, m.drain_target = -2, view_.note_new_capacity();
+    if (m.reclaim_at)  // tasks with checkpoints save their state before the cloud takes the machine back
       for (auto& [key, p] : m.tasks)
-        if (p.job && !p.halting && p.job->spec->checkpoint_every > 0 && p.phase != Phase::assigned) {
+        if (p.job && !p.halting && p.job->spec->checkpoint_every > 0 && p.phase != AttemptPhase::assigned) {
           if (p.job->spec->shape == Shape::gang)
             view_.stop_gang(*p.job, p.job->spec->save_time);
           else
@@ -237,10 +238,10 @@
   // something changes, and without any change there is no pass. Effects of time alone (reserved room that
   // becomes free, a deadline that comes near) are looked for every kFullPassInterval.
   const bool due = now - last_full_pass_ >= kFullPassInterval || now < last_full_pass_;
-  if (due) last_full_pass_ = now, view_.gained();
-  if (!due && changes_at_last_complete_pass_ == view_.changes) return false;
-  const bool complete = placement_.place_all(now, kMaxPlacedPerPass);
-  if (complete) changes_at_last_complete_pass_ = view_.changes;
+  if (due) last_full_pass_ = now, view_.note_new_capacity();
+  if (!due && changes_at_last_complete_pass_ == view_.change_count) return false;
+  const bool complete = placement_.place_waiting_tasks(now, kMaxPlacedPerPass);
+  if (complete) changes_at_last_complete_pass_ = view_.change_count;
   return !complete;
 }
 
@@ -263,16 +264,16 @@
   auto it = view_.machines.find(machine);
   if (it == view_.machines.end() || !loaded_ || !it->second.up) return;
   Machine& m = it->second;
-  if (m.drain_until > now && (rank != Rank::low || m.drain_to != to)) return;
+  if (m.drain_until > now && (rank != Rank::low || m.drain_target != to)) return;
   if (rank == Rank::low) {  // no rank is below it: running tasks may finish, and no more are placed
-    m.drain_to = to;
+    m.drain_target = to;
     m.drain_until = now + 2 * kDrainTimeout;
     return;
   }
   for (const auto& [key, p] : m.tasks)
     if (!p.job || p.job->rank >= rank) return;
   spdlog::info("machine {}: stopping {} tasks to move the machine to share {}", machine, m.tasks.size(), to);
-  m.drain_to = to;
+  m.drain_target = to;
   m.drain_until = now + kDrainTimeout;
   for (auto& [key, p] : m.tasks) {
     const Micros grace = p.job->spec->checkpoint_every > 0 ? p.job->spec->save_time : 0;
@@ -286,14 +287,14 @@
 std::vector<std::pair<std::string, int>> ShareController::drained_machines() const {
   std::vector<std::pair<std::string, int>> out;
   for (const auto& [id, m] : view_.machines)
-    if (m.drain_until > 0 && m.drain_to >= -1 && release_refusal(m) == ReleaseRefusal::none)
-      out.emplace_back(id, m.drain_to);
+    if (m.drain_until > 0 && m.drain_target >= -1 && release_refusal(m) == ReleaseRefusal::none)
+      out.emplace_back(id, m.drain_target);
   return out;
 }
 
 void ShareController::cancel_release(const std::string& machine) {
   if (auto it = view_.machines.find(machine); it != view_.machines.end())
-    it->second.leaving = false, view_.gained();
+    it->second.leaving = false, view_.note_new_capacity();
 }
 
 }  // namespace aspenwick::share
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -112,7 +112,7 @@
   void set_all_controllers_read_units(bool on) { all_controllers_read_units_ = on; }
   /// All jobs, progress rows and machines of the share have been passed in; nothing is placed before.
   void finish_loading(Micros now);
-  /// Takes in the record of a machine of this share. `handed_empty`: the record was written after the
+  /// Takes in the record of a machine of this share. `handed_over_empty`: the record was written after the
   /// takeover, so the machine was empty when it joined the share.
   void on_machine_record(const MachineRecord& record, bool handed_empty, Micros now);
   /// The machine's record was deleted or names another share.
@@ -226,12 +226,12 @@
   bool has_machine(const std::string& id) const { return view_.machines.contains(id); }
   std::uint64_t epoch() const { return epoch_; }
   /// Number of attempts numbered in this epoch; at place::kAttemptsPerEpoch nothing more is started.
-  std::uint64_t attempts_in_epoch() const { return placement_.attempts(); }
+  std::uint64_t attempts_in_epoch() const { return placement_.attempts_in_epoch(); }
   /// Continues under a higher epoch, which was recorded for this owner without a gap in ownership. An
   /// epoch that is not higher is ignored.
   void raise_epoch(std::uint64_t epoch);
   /// Number of attempts that were dropped from their machines since the takeover, by reason.
-  const std::array<std::uint64_t, place::kFreedReasons>& freed_attempts() const { return view_.freed; }
+  const std::array<std::uint64_t, place::kFreeReasons>& freed_attempts() const { return view_.freed_counts; }
   /// Number of placement passes and start orders that were refused since the takeover, by reason.
   const std::array<std::uint64_t, place::kStartRefusals>& refused_starts() const { return refused_starts_; }
   const place::Rnn& rnn() const { return placement_.rnn(); }
@@ -247,12 +247,12 @@
  private:
   using Machine = place::Machine;
   using Job = place::Job;
-  using Phase = place::Phase;
-  using Placed = place::Placed;
-  using Freed = place::Freed;
+  using AttemptPhase = place::AttemptPhase;
+  using TaskAttempt = place::TaskAttempt;
+  using FreeReason = place::FreeReason;
   using ReleaseRefusal = place::ReleaseRefusal;
   using TaskKey = place::TaskKey;
-  using HeldResult = place::HeldResult;
+  using UnrecordedResult = place::UnrecordedResult;
 
   /// How a report that a worker sent on its own relates to what is already known of the machine.
   enum class ReportFreshness : std::uint8_t {
@@ -263,25 +263,25 @@
   static ReportFreshness freshness_of(const Machine& m, const wire::WorkerReport& r);
   std::uint64_t current_token(const Machine& m) const;
   bool apply_report(Machine& m, const wire::WorkerReport& r, bool own_report, Micros now);
-  void drop_all_attempts(Machine& m, Micros now, Freed why);
+  void drop_all_attempts(Machine& m, Micros now, FreeReason why);
   void doubt_delivery(Machine& m, Micros now, const char* why);
-  void on_task_succeeded(Job& j, Machine& m, const Placed& p, Micros now);
+  void on_task_succeeded(Job& j, Machine& m, const TaskAttempt& p, Micros now);
   void on_task_failed(Job& j, Machine& m, Micros now);
   /// What the job records say about a job that a machine reports.
   enum class JobDisposition : std::uint8_t { planned, ended, of_another_share, not_known };
   JobDisposition disposition_of(const std::string& job) const;
-  bool may_have_job_record(const Placed& p) const;
+  bool may_have_job_record(const TaskAttempt& p) const;
   bool awaits_job_records(const Machine& m) const;
   void add_reported_attempt(Machine& m, const wire::TaskReport& t, Micros now);
-  void add_attempt(Machine& m, Placed p, Micros now);
-  void add_attempt_of_planned_job(Job& j, Machine& m, Placed p, Micros now);
+  void add_attempt(Machine& m, TaskAttempt p, Micros now);
+  void add_attempt_of_planned_job(Job& j, Machine& m, TaskAttempt p, Micros now);
   void attribute_to_job(Job& j, Micros now);
   void resolve_unattributed_attempts(Micros now);
   static bool mark_done(Job& j, std::uint32_t index);
   void on_task_exited(Machine& m, const wire::TaskReport& t, Micros now);
   Micros latest_lease_end(Micros answered) const;
   std::uint64_t min_token(const Machine& m) const;
-  bool start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator attempt, StartRefusal owner_refusal,
+  bool start_allowed(Machine& m, std::map<TaskKey, TaskAttempt>::iterator attempt, StartRefusal owner_refusal,
                      Micros now);
   void count_start_refusal(StartRefusal why) { ++refused_starts_.at(static_cast<std::size_t>(why)); }
   std::vector<Order> take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
@@ -294,7 +294,7 @@
   bool result_copy_needed(const TaskKey& task, Micros since) const;
   bool holds_needed_result_copy(const Machine& m) const;
   void retain_or_forget_result(Machine& m, const wire::TaskReport& t,
-                               const std::map<TaskKey, HeldResult>& before, Micros now);
+                               const std::map<TaskKey, UnrecordedResult>& before, Micros now);
   void measure_result_wait(Machine& m, Micros now);
   ReleaseRefusal release_refusal(const Machine& m) const;
   /// How urgently a job's progress rows should be written.
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -24,33 +24,33 @@
 }
 
 /// Returns whether the attempt's job may exist: its record may not have been read yet, or is incomplete.
-bool ShareController::may_have_job_record(const Placed& p) const {
+bool ShareController::may_have_job_record(const TaskAttempt& p) const {
   const JobRecord* record = lookup_job_(p.job_id);
-  return records_as_of_ <= p.started || (record && !record->spec);
+  return records_as_of_ <= p.started_at || (record && !record->spec);
 }
 
 /// Returns whether the machine holds an attempt whose job, and so its team, is still unknown because the job
 /// records are not known as of a time after the attempt was reported.
 bool ShareController::awaits_job_records(const Machine& m) const {
   return m.unattributed > 0 && std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& t) {
-           return t.second.unattributed && records_as_of_ <= t.second.started;
+           return t.second.unattributed && records_as_of_ <= t.second.started_at;
          });
 }
 
 /// Adds an attempt that the machine reports and that is not listed on it.
 void ShareController::add_reported_attempt(Machine& m, const TaskReport& t, Micros now) {
-  Placed p;
+  TaskAttempt p;
   p.job_id = t.job;
   p.index = t.index;
   p.attempt = t.attempt;
-  p.phase = t.state == TaskState::running ? Phase::running : Phase::present;
+  p.phase = t.state == TaskState::running ? AttemptPhase::running : AttemptPhase::reported;
   p.fetching = t.state == TaskState::fetching;
-  p.started = now;
+  p.started_at = now;
   add_attempt(m, std::move(p), now);
 }
 
 /// Lists the attempt on the machine: as its task's current attempt, as one to be stopped, or as unattributed.
-void ShareController::add_attempt(Machine& m, Placed p, Micros now) {
+void ShareController::add_attempt(Machine& m, TaskAttempt p, Micros now) {
   const JobRecord* record = lookup_job_(p.job_id);
   switch (disposition_of(p.job_id)) {
     case JobDisposition::planned: {
@@ -74,13 +74,13 @@
       view_.halt(p, 0);
       break;
   }
-  view_.add(m, std::move(p));
+  view_.add_attempt(m, std::move(p));
 }
 
-void ShareController::add_attempt_of_planned_job(Job& j, Machine& m, Placed p, Micros now) {
+void ShareController::add_attempt_of_planned_job(Job& j, Machine& m, TaskAttempt p, Micros now) {
   if (p.index >= j.spec->tasks) {  // the job has no such task
     view_.halt(p, 0);
-    return view_.add(m, std::move(p));
+    return view_.add_attempt(m, std::move(p));
   }
   p.need = j.spec->need;
   p.team = j.spec->team;
@@ -89,8 +89,8 @@
     // and the assignment dropped; otherwise the task would run twice.
     Machine& other = *a->second;
     auto q = other.tasks.find({p.job_id, p.index});
-    if (q != other.tasks.end() && q->second.phase == Phase::assigned)
-      view_.drop(other, q, now, Freed::runs_elsewhere);
+    if (q != other.tasks.end() && q->second.phase == AttemptPhase::assigned)
+      view_.free_attempt(other, q, now, FreeReason::runs_elsewhere);
   }
   if (j.active.contains(p.index)) {
     view_.halt(p, 0);
@@ -99,9 +99,9 @@
     if (j.cancelled || j.finished || j.done.test(p.index))
       view_.halt(p, 0);  // finished, but listed until a report shows that it is gone
     else if (!p.fetching)
-      m.used_image(*j.spec);
+      m.note_image_use(*j.spec);
   }
-  view_.add(m, std::move(p));
+  view_.add_attempt(m, std::move(p));
 }
 
 /// Called when a job starts to be planned: assigns to it the results and attempts that machines reported
@@ -110,12 +110,12 @@
   const auto of_job = [&j](const auto& entries, auto it) {
     return it != entries.end() && it->first.first == j.id;
   };
-  for (const Machine* m : view_.all)
+  for (const Machine* m : view_.machines_by_id)
     for (auto it = m->results.lower_bound({j.id, 0}); of_job(m->results, it); ++it)
       if (it->first.second < j.spec->tasks && mark_done(j, it->first.second))
         ++attribution_counts_.attributed_results;
   if (view_.unattributed == 0) return;
-  for (Machine* m : view_.all) {
+  for (Machine* m : view_.machines_by_id) {
     if (m->unattributed == 0) continue;
     for (auto it = m->tasks.lower_bound({j.id, 0}); of_job(m->tasks, it);) {
       auto current = it++;
@@ -131,10 +131,10 @@
 /// or don't exist.
 void ShareController::resolve_unattributed_attempts(Micros now) {
   if (view_.unattributed == 0) return;
-  for (Machine* m : view_.all) {
+  for (Machine* m : view_.machines_by_id) {
     for (auto it = m->tasks.begin(); m->unattributed > 0 && it != m->tasks.end();) {
       auto current = it++;
-      const Placed& p = current->second;
+      const TaskAttempt& p = current->second;
       if (!p.unattributed) continue;
       const bool unresolved = disposition_of(p.job_id) == JobDisposition::not_known;
       if (unresolved && may_have_job_record(p)) continue;
@@ -148,9 +148,10 @@
 ShareController::AttributionCounts ShareController::attribution_counts() const {
   AttributionCounts now = attribution_counts_;
   now.unattributed_attempts = view_.unattributed;
-  for (const Machine* m : view_.all)
+  for (const Machine* m : view_.machines_by_id)
     for (const auto& [task, result] : m->results)
-      if (disposition_of(task.first) == JobDisposition::not_known && result_copy_needed(task, result.since))
+      if (disposition_of(task.first) == JobDisposition::not_known &&
+          result_copy_needed(task, result.first_reported))
         ++now.unattributed_results;
   return now;
 }
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -20,20 +20,20 @@
 
 /// Final check before an order to start an attempt is sent. An attempt whose start would break an invariant
 /// is dropped, not retried.
-bool ShareController::start_allowed(Machine& m, std::map<TaskKey, Placed>::iterator attempt,
+bool ShareController::start_allowed(Machine& m, std::map<TaskKey, TaskAttempt>::iterator attempt,
                                     StartRefusal owner_refusal, Micros now) {
   using place::Invariant;
   const StartRefusal why = place::start_refusal(view_, m, attempt->second, owner_refusal);
   if (why == StartRefusal::none) return true;
   count_start_refusal(why);
   if (!place::breaks_invariant(why)) return false;
-  const Placed& p = attempt->second;
+  const TaskAttempt& p = attempt->second;
   const auto which =
       why == StartRefusal::other_attempt ? Invariant::one_attempt_of_a_task : Invariant::done_is_final;
-  place::violated(which, p.job_id + "/" + std::to_string(p.index) + " try " + std::to_string(p.attempt) +
-                             " on " + m.record.id + ", epoch " + std::to_string(epoch_) + ": " +
-                             std::string(place::to_string(why)));
-  view_.drop(m, attempt, now, Freed::refused);
+  place::report_violation(which, p.job_id + "/" + std::to_string(p.index) + " try " +
+                                     std::to_string(p.attempt) + " on " + m.record.id + ", epoch " +
+                                     std::to_string(epoch_) + ": " + std::string(place::to_string(why)));
+  view_.free_attempt(m, attempt, now, FreeReason::refused);
   return false;
 }
 
@@ -45,21 +45,21 @@
   bool launches = false;
   for (auto it = m.tasks.begin(); it != m.tasks.end() && out.size() < kMaxOrdersPerAnswer;) {
     auto current = it++;
-    Placed& p = current->second;
+    TaskAttempt& p = current->second;
     if (p.halting) {
-      if (p.phase == Phase::assigned) {
-        view_.drop(m, current, now, Freed::never_sent);
-      } else if (!by_push || now - p.halt_sent >= kHaltRepeatInterval) {
-        p.halt_sent = now;
+      if (p.phase == AttemptPhase::assigned) {
+        view_.free_attempt(m, current, now, FreeReason::never_sent);
+      } else if (!by_push || now - p.halt_sent_at >= kHaltRepeatInterval) {
+        p.halt_sent_at = now;
         out.push_back({Order::Verb::halt, p.job_id, p.index, p.attempt, p.grace});
       }
       continue;
     }
-    if (p.phase != Phase::assigned || !start_allowed(m, current, owner_refusal, now)) continue;
-    p.phase = Phase::sent;
-    p.by_push = by_push;
+    if (p.phase != AttemptPhase::assigned || !start_allowed(m, current, owner_refusal, now)) continue;
+    p.phase = AttemptPhase::sent;
+    p.sent_by_push = by_push;
     p.answer_seq = answer_seq;
-    p.started = now;
+    p.started_at = now;
     launches = true;
     out.push_back({Order::Verb::launch, p.job_id, p.index, p.attempt, 0});
     spdlog::debug("starting {}/{} try {} on {}, session {}, token {}, by {}", p.job_id, p.index, p.attempt,
@@ -72,14 +72,14 @@
   // while a push is in flight, because the worker would refuse that push; the next report lists the same
   // results again.
   const bool needs_fence = m.launch_token == current_token(m);
-  if (!m.forgets.empty() && !(needs_fence && m.pushing)) {
-    if (needs_fence) ++m.bump;
-    for (const auto& f : m.forgets) {
+  if (!m.pending_forgets.empty() && !(needs_fence && m.push_in_flight)) {
+    if (needs_fence) ++m.token_offset;
+    for (const auto& f : m.pending_forgets) {
       if (out.size() >= kMaxOrdersPerAnswer) break;
       out.push_back(f);
     }
   }
-  m.forgets.clear();
+  m.pending_forgets.clear();
   if (launches && by_push) m.launch_token = current_token(m);
   return out;
 }
@@ -88,27 +88,29 @@
                                                                      StartRefusal owner_refusal) {
   std::vector<OrderPush> out;
   if (!loaded_) return out;
-  for (auto it = view_.to_order.begin(); it != view_.to_order.end() && out.size() < max_pushes;) {
+  for (auto it = view_.machines_to_contact.begin();
+       it != view_.machines_to_contact.end() && out.size() < max_pushes;) {
     Machine& m = **it;
-    bool wanted = (!m.accounted && now < m.lapse_at) || m.hearing.in_doubt();
-    bool later = !m.accounted || m.hearing.in_doubt();
+    bool wanted = (!m.accounted_for && now < m.lease_expires_at) || m.delivery.in_doubt();
+    bool later = !m.accounted_for || m.delivery.in_doubt();
     for (const auto& [key, p] : m.tasks) {
       if (wanted) break;
-      wanted = p.phase == Phase::assigned || (p.halting && now - p.halt_sent >= kHaltRepeatInterval);
+      wanted =
+          p.phase == AttemptPhase::assigned || (p.halting && now - p.halt_sent_at >= kHaltRepeatInterval);
       later = later || p.halting;
     }
-    it = wanted || later ? std::next(it) : view_.to_order.erase(it);
-    if (!wanted || m.pushing || now < m.push_again || m.record.address.empty()) continue;
-    if (m.accounted && !m.up) continue;
+    it = wanted || later ? std::next(it) : view_.machines_to_contact.erase(it);
+    if (!wanted || m.push_in_flight || now < m.next_push_at || m.record.address.empty()) continue;
+    if (m.accounted_for && !m.up) continue;
     OrderPush push{m.record.id, m.record.address, 0, m.session, {}};
     // If pushes don't reach the machine, tasks are started only in answers to its reports. If starts were
     // pushed first and fenced each time, a task would never start in a network where only the workers can
     // open connections to the nodes (tests/node_test.cpp). A push without starts checks whether pushes arrive
     // again, and repeats halt orders.
     const StartRefusal refusal = m.pushes_lost < kMaxLostPushes ? owner_refusal : StartRefusal::pushes_lost;
-    if (m.accounted) push.orders = take_orders(m, true, 0, refusal, now);
+    if (m.accounted_for) push.orders = take_orders(m, true, 0, refusal, now);
     push.token = current_token(m);  // taking the orders may have raised it
-    m.pushing = true;
+    m.push_in_flight = true;
     out.push_back(std::move(push));
   }
   return out;
@@ -118,22 +120,22 @@
   auto it = view_.machines.find(machine);
   if (it == view_.machines.end()) return;
   Machine& m = it->second;
-  m.pushing = false;
+  m.push_in_flight = false;
   const int lost_before =
       std::exchange(m.pushes_lost, status == 200 || status == 409 ? 0 : m.pushes_lost + 1);
   if ((status == 200 || status == 409) && report) {
     for (auto p = m.tasks.begin(); p != m.tasks.end();) {
       auto current = p++;
-      Placed& placed = current->second;
-      if (placed.phase != Phase::sent || !placed.by_push || placed.fence != 0) continue;
+      TaskAttempt& placed = current->second;
+      if (placed.phase != AttemptPhase::sent || !placed.sent_by_push || placed.fence_token != 0) continue;
       if (status == 409)
-        view_.drop(m, current, now, Freed::push_refused);  // none of its orders was executed
+        view_.free_attempt(m, current, now, FreeReason::push_refused);  // none of its orders was executed
       else
-        placed.by_push = false, placed.answer_seq = 0;  // executed: the next newer report lists it
+        placed.sent_by_push = false, placed.answer_seq = 0;  // executed: the next newer report lists it
     }
-    if (m.hearing.shown(report->token, 0)) view_.gained(m);
+    if (m.delivery.on_token_seen(report->token, 0)) view_.note_new_capacity(m);
     apply_report(m, *report, false, now);
-    if (status == 409) m.push_again = m.accounted ? now + kSecond / 2 : now;
+    if (status == 409) m.next_push_at = m.accounted_for ? now + kSecond / 2 : now;
     return;
   }
   // No answer: the orders may still arrive minutes later (delayed packets), even after the task was placed
@@ -143,11 +145,11 @@
   if (lost_before == 0)
     doubt_delivery(m, now, "a push got no answer");
   else
-    ++m.bump;
+    ++m.token_offset;
   const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report);
-  m.push_again = now + std::min(longest, kPushRetryDelay << std::min(lost_before, kMaxPushRetryDoublings));
+  m.next_push_at = now + std::min(longest, kPushRetryDelay << std::min(lost_before, kMaxPushRetryDoublings));
   for (auto& [key, p] : m.tasks)
-    if (p.phase == Phase::sent && p.by_push) p.fence = current_token(m);
+    if (p.phase == AttemptPhase::sent && p.sent_by_push) p.fence_token = current_token(m);
 }
 
 }  // namespace aspenwick::share
--- a/src/share/share_controller_progress.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -47,7 +47,7 @@
   if (max_writes == 0) return out;
   std::vector<std::pair<Job*, WriteUrgency*>> dirty;
   for (auto& [id, j] : view_.jobs)
-    if (!j->cancelled && !j->finished && !j->committing && !j->done.all() && !j->dirty.empty())
+    if (!j->cancelled && !j->finished && !j->committing && !j->done.all() && !j->dirty_units.empty())
       dirty.emplace_back(j.get(), nullptr);
   if (dirty.empty()) return out;
   auto urgency = write_urgency_by_job(now);
@@ -63,9 +63,9 @@
   for (const auto& [j, urgent] : dirty) {
     if (out.size() >= max_writes) break;
     auto units = std::vector<std::uint32_t>(urgent->units.begin(), urgent->units.end());
-    units.insert(units.end(), j->dirty.begin(), j->dirty.end());
+    units.insert(units.end(), j->dirty_units.begin(), j->dirty_units.end());
     for (const std::uint32_t unit : units)
-      if (out.size() < max_writes && j->dirty.contains(unit)) append_row_write(*j, unit, out);
+      if (out.size() < max_writes && j->dirty_units.contains(unit)) append_row_write(*j, unit, out);
   }
   return out;
 }
@@ -79,13 +79,13 @@
   std::string text = j.done.chunk_text(chunk);
   const bool as_chunk = text.size() + 2 <= platform_.value_room();
   const std::uint32_t row = as_chunk ? chunk : kFirstUnitRow + unit;
-  if (j.in_flight.contains(row)) return;
+  if (j.rows_in_flight.contains(row)) return;
   if (!as_chunk) text = j.done.unit_text(unit);
   out.push_back({j.id, row, std::move(text), j.row_versions[row]});
-  j.in_flight.insert(row);
+  j.rows_in_flight.insert(row);
   const std::uint32_t first = as_chunk ? chunk * DoneSet::kUnitsPerChunk : unit;
   const std::uint32_t end = as_chunk ? (chunk + 1) * DoneSet::kUnitsPerChunk : unit + 1;
-  j.dirty.erase(j.dirty.lower_bound(first), j.dirty.lower_bound(end));
+  j.dirty_units.erase(j.dirty_units.lower_bound(first), j.dirty_units.lower_bound(end));
 }
 
 /// Returns whether every controller that may take over the share would read that the task is done.
@@ -115,20 +115,20 @@
   auto it = view_.jobs.find(w.job);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
-  j.in_flight.erase(w.row);
+  j.rows_in_flight.erase(w.row);
   j.row_versions[w.row] = version;
   if (ok) return merge_recorded_row(j, w.row, w.text);
-  if (w.row >= kFirstUnitRow) j.dirty.insert(w.row - kFirstUnitRow);
+  if (w.row >= kFirstUnitRow) j.dirty_units.insert(w.row - kFirstUnitRow);
   for (std::uint32_t u = 0; w.row < kFirstUnitRow && u < DoneSet::kUnitsPerChunk; ++u) {
     const std::uint32_t unit = w.row * DoneSet::kUnitsPerChunk + u;
-    if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty.insert(unit);
+    if (j.done.unit_text(unit) != j.recorded.unit_text(unit)) j.dirty_units.insert(unit);
   }
 }
 
 std::vector<std::string> ShareController::jobs_to_commit() const {
   std::vector<std::string> out;
   for (const auto& [id, j] : view_.jobs)
-    if (!j->cancelled && !j->finished && !j->committing && j->done.all() && j->in_flight.empty())
+    if (!j->cancelled && !j->finished && !j->committing && j->done.all() && j->rows_in_flight.empty())
       out.push_back(id);
   return out;
 }
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -24,7 +24,7 @@
 /// started elsewhere while they still run there.
 ShareController::ReportFreshness ShareController::freshness_of(const Machine& m, const WorkerReport& r) {
   if (std::pair{r.session, r.seq} > std::pair{m.session, m.seq}) return ReportFreshness::newest;
-  const bool waited_for = r.session == m.session && r.seq > m.report_seq;
+  const bool waited_for = r.session == m.session && r.seq > m.own_report_seq;
   return waited_for ? ReportFreshness::overtaken : ReportFreshness::obsolete;
 }
 
@@ -40,19 +40,19 @@
   const ReportFreshness freshness = freshness_of(m, r);
   if (freshness == ReportFreshness::obsolete) return ReportAnswer{current_token(m), {}};
   if (freshness == ReportFreshness::newest) {
-    if (m.hearing.shown(r.token, min_token(m))) view_.gained(m);
+    if (m.delivery.on_token_seen(r.token, min_token(m))) view_.note_new_capacity(m);
     apply_report(m, r, true, now);
   }
-  m.report_seq = r.seq;
+  m.own_report_seq = r.seq;
   // If neither our answers nor pushes reach the worker, each further answer would only postpone the time at
   // which its lease has certainly expired. The attempts that may be on the machine would then block the share
   // for as long as the worker reports.
   const int max_unreceived = m.pushes_lost >= kMaxLostPushes ? 1 : kMaxUnreceivedAnswers;
-  if (!m.accounted && m.hearing.in_vain() >= max_unreceived) return {};
-  m.hearing.answered();
+  if (!m.accounted_for && m.delivery.lost_answers() >= max_unreceived) return {};
+  m.delivery.on_answer_sent();
   // The end of the lease never moves to an earlier time: a copy of an old report may arrive in the seconds in
   // which the former owner, cut off, still answers the worker itself.
-  m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
+  m.lease_expires_at = std::max(m.lease_expires_at, latest_lease_end(now));
   if (freshness == ReportFreshness::overtaken) return ReportAnswer{current_token(m), {}};
   auto orders = take_orders(m, false, r.seq, owner_refusal, now);
   return ReportAnswer{current_token(m), std::move(orders)};  // taking the orders may have raised the token
@@ -63,31 +63,31 @@
 bool ShareController::apply_report(Machine& m, const WorkerReport& r, bool own_report, Micros now) {
   if (std::pair{r.session, r.seq} <= std::pair{m.session, m.seq}) return false;
   if (r.session > m.session) {
-    const Micros answered = m.lapse_at - latest_lease_end(0);
+    const Micros answered = m.lease_expires_at - latest_lease_end(0);
     const bool answers_lost =
-        m.session != 0 && m.accounted && m.up && now - answered < platform_.worker_lease;
-    if (m.session != 0) drop_all_attempts(m, now, Freed::new_session);
+        m.session != 0 && m.accounted_for && m.up && now - answered < platform_.worker_lease;
+    if (m.session != 0) drop_all_attempts(m, now, FreeReason::new_session);
     // A session's lease starts with the session, before any report is answered. If the session became known
     // through a push, it may have begun just now, and an attempt that we start in it lives for that lease.
     // Before a machine is accounted for we start nothing on it, and its former owner knew no session that
     // began later.
-    if (m.accounted) m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));
+    if (m.accounted_for) m.lease_expires_at = std::max(m.lease_expires_at, latest_lease_end(now));
     // A session ends when no answer arrives for the length of a lease, but answers were sent in that time.
     if (answers_lost) doubt_delivery(m, now, "its session ended although answers were sent");
-    m.report_seq = 0;
+    m.own_report_seq = 0;
   }
   m.session = r.session;
   m.seq = r.seq;
   m.seen_token = std::max(m.seen_token, r.token);
-  if (!m.up) view_.gained(m);
+  if (!m.up) view_.note_new_capacity(m);
   m.up = true;
   m.last_report = now;
   m.record.address = r.address;
-  if (r.notice && !m.taken_at) {
-    m.taken_at = now + *r.notice;
+  if (r.notice && !m.reclaim_at) {
+    m.reclaim_at = now + *r.notice;
     spdlog::info("machine {}: the cloud takes it back in {:.1f} s", m.record.id, to_seconds(*r.notice));
   }
-  m.forgets.clear();
+  m.pending_forgets.clear();
   const auto results_before = std::exchange(m.results, {});
   std::set<TaskKey> seen;
   for (const auto& t : r.tasks) {
@@ -101,8 +101,8 @@
     if (p != m.tasks.end() && p->second.attempt != t.attempt) {
       // The machine holds a different attempt than the one listed here: the machine's report takes
       // precedence.
-      if (p->second.phase == Phase::assigned || t.attempt > p->second.attempt)
-        view_.drop(m, p, now, Freed::replaced);
+      if (p->second.phase == AttemptPhase::assigned || t.attempt > p->second.attempt)
+        view_.free_attempt(m, p, now, FreeReason::replaced);
       p = m.tasks.find(key);
     }
     seen.insert(key);
@@ -111,40 +111,43 @@
       continue;
     }
     if (p->second.attempt != t.attempt) continue;
-    p->second.fence = 0;
-    if (t.state == TaskState::running && p->second.run_since == 0) {
-      p->second.run_since = now;
-      if (p->second.job && p->second.phase != Phase::running)
+    p->second.fence_token = 0;
+    if (t.state == TaskState::running && p->second.running_since == 0) {
+      p->second.running_since = now;
+      if (p->second.job && p->second.phase != AttemptPhase::running)
         start_waits_.push_back(now - p->second.job->ready);
     }
-    if (t.state != TaskState::fetching && p->second.phase != Phase::running && p->second.job)
-      m.used_image(*p->second.job->spec);
-    if (p->second.phase < Phase::present && p->second.job) p->second.job->waits_since = now;
-    p->second.phase = t.state == TaskState::running ? Phase::running : Phase::present;
+    if (t.state != TaskState::fetching && p->second.phase != AttemptPhase::running && p->second.job)
+      m.note_image_use(*p->second.job->spec);
+    if (p->second.phase < AttemptPhase::reported && p->second.job) p->second.job->waiting_since = now;
+    p->second.phase = t.state == TaskState::running ? AttemptPhase::running : AttemptPhase::reported;
     p->second.fetching = t.state == TaskState::fetching;
-    if (Job* j = p->second.job; j && j->incomplete == t.attempt && !p->second.fetching)
-      view_.halt(p->second, 0);  // the image is there now; see ClusterView::end_attempt
+    if (Job* j = p->second.job; j && j->incomplete_attempt == t.attempt && !p->second.fetching)
+      view_.halt(p->second, 0);  // the image is there now; see ClusterView::end_gang_attempt
   }
   bool answers_lost = false;
   for (auto p = m.tasks.begin(); p != m.tasks.end();) {
     auto current = p++;
-    const Placed& placed = current->second;
-    if (seen.contains(current->first) || placed.phase == Phase::assigned) continue;
+    const TaskAttempt& placed = current->second;
+    if (seen.contains(current->first) || placed.phase == AttemptPhase::assigned) continue;
     bool gone = true;
-    if (placed.phase == Phase::sent) {
+    if (placed.phase == AttemptPhase::sent) {
       // The worker executes or drops an order in an answer before it sends its next report. A pushed order
       // may arrive at any later time, until the worker has seen a higher token.
-      gone = placed.by_push ? placed.fence != 0 && r.token >= placed.fence
-                            : own_report && r.seq > placed.answer_seq;
-      answers_lost |= gone && !placed.by_push && placed.answer_seq != 0;
+      gone = placed.sent_by_push ? placed.fence_token != 0 && r.token >= placed.fence_token
+                                 : own_report && r.seq > placed.answer_seq;
+      answers_lost |= gone && !placed.sent_by_push && placed.answer_seq != 0;
     }
-    if (gone) view_.drop(m, current, now, placed.fence != 0 ? Freed::fenced : Freed::not_listed);
+    if (gone)
+      view_.free_attempt(m, current, now,
+                         placed.fence_token != 0 ? FreeReason::fenced : FreeReason::not_listed);
   }
   if (answers_lost) doubt_delivery(m, now, "an answer did not arrive");
-  if (!m.accounted && r.token >= min_token(m)) {
-    m.accounted = true;
-    m.lapse_at = std::max(m.lapse_at, latest_lease_end(now));  // the lease of this session, see above
-    view_.gained(m);
+  if (!m.accounted_for && r.token >= min_token(m)) {
+    m.accounted_for = true;
+    m.lease_expires_at =
+        std::max(m.lease_expires_at, latest_lease_end(now));  // the lease of this session, see above
+    view_.note_new_capacity(m);
     update_rebuilt(now);
   }
   return true;
@@ -159,7 +162,7 @@
     const bool newly_done = mark_done(*j, t.index);
     if (tracked && (newly_done || j->spec->shape == Shape::gang)) on_task_succeeded(*j, m, p->second, now);
     // Dropping the last attempt of a finished job removes the job from the view, which invalidates `j`.
-    if (tracked) view_.drop(m, p, now, Freed::done);
+    if (tracked) view_.free_attempt(m, p, now, FreeReason::done);
     it = view_.jobs.find(t.job);
     if (it == view_.jobs.end()) return;
     // An attempt of the same task on another machine is no longer needed.
@@ -167,8 +170,8 @@
       Machine& other = *a->second;
       auto q = other.tasks.find({t.job, t.index});
       if (q != other.tasks.end()) {
-        if (q->second.phase == Phase::assigned)
-          view_.drop(other, q, now, Freed::done);
+        if (q->second.phase == AttemptPhase::assigned)
+          view_.free_attempt(other, q, now, FreeReason::done);
         else
           view_.halt(q->second, 0);
       }
@@ -179,19 +182,19 @@
   if (tracked) {
     if (t.cause == Cause::error && j) on_task_failed(*j, m, now);
     if (t.cause == Cause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
-    if (t.cause == Cause::gang_incomplete && j) j->incomplete = t.attempt;
+    if (t.cause == Cause::gang_incomplete && j) j->incomplete_attempt = t.attempt;
     if (t.cause == Cause::unknown && j) j->not_before = now + 2 * kSecond;
     spdlog::debug("exited {}/{} try {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
                   static_cast<int>(t.cause));
-    view_.drop(m, p, now, Freed::exited);
+    view_.free_attempt(m, p, now, FreeReason::exited);
   }
 }
 
 /// Marks a task as done. Returns whether that is new.
 bool ShareController::mark_done(Job& j, std::uint32_t index) {
   if (!j.done.set(index)) return false;
-  j.dirty.insert(index / DoneSet::kUnitTasks);
-  j.again.erase(index);
+  j.dirty_units.insert(index / DoneSet::kUnitTasks);
+  j.to_restart.erase(index);
   complete_gang(j);
   return true;
 }
@@ -202,18 +205,18 @@
 void ShareController::complete_gang(Job& j) {
   if (j.spec->shape != Shape::gang || j.done.count() == 0) return;
   for (std::uint32_t i = 0; i < j.spec->tasks; ++i)
-    if (j.done.set(i)) j.dirty.insert(i / DoneSet::kUnitTasks);
-  j.again.clear();
+    if (j.done.set(i)) j.dirty_units.insert(i / DoneSet::kUnitTasks);
+  j.to_restart.clear();
 }
 
 /// Clears the machine's errors and feeds the task's run time to the placement learner.
-void ShareController::on_task_succeeded(Job& j, Machine& m, const Placed& p, Micros now) {
+void ShareController::on_task_succeeded(Job& j, Machine& m, const TaskAttempt& p, Micros now) {
   m.error_jobs.clear();
-  if (p.run_since == 0 || j.spec->shape == Shape::service) return;
-  const double run = std::max(0.05, to_seconds(now - p.run_since));
-  j.run_sum += run;
-  ++j.run_count;
-  const double goal = settings_.rnn.normalise ? run / (j.run_sum / j.run_count) : run;
+  if (p.running_since == 0 || j.spec->shape == Shape::service) return;
+  const double run = std::max(0.05, to_seconds(now - p.running_since));
+  j.run_seconds += run;
+  ++j.finished_runs;
+  const double goal = settings_.rnn.relative_goals ? run / (j.run_seconds / j.finished_runs) : run;
   placement_.rnn().learn(m.neuron, goal);
   if (spdlog::should_log(spdlog::level::debug))
     spdlog::debug("learn {} goal {:.3f} threshold {:.3f} q {:.4f}", m.record.id, goal,
@@ -222,22 +225,23 @@
 
 /// Counts an error against the job and the machine, and decides which of the two is at fault.
 void ShareController::on_task_failed(Job& j, Machine& m, Micros now) {
-  ++j.errors;
+  ++j.error_count;
   // A machine is avoided only for some time: if it is the only one with room, the job would wait forever.
-  std::erase_if(j.bad_machines, [&](const auto& bad) { return bad.second <= now; });
-  j.bad_machines[m.record.id] = now + settings_.suspect_for;
+  std::erase_if(j.avoided_machines, [&](const auto& bad) { return bad.second <= now; });
+  j.avoided_machines[m.record.id] = now + settings_.suspect_for;
   m.error_jobs.insert(j.id);
-  if (j.bad_machines.size() >= 3) {
+  if (j.avoided_machines.size() >= 3) {
     // The job fails on every machine, so the job is at fault: it backs off, and its errors no longer count
     // against the machines.
-    j.not_before = now + std::min<Micros>(60 * kSecond, settings_.error_backoff << std::min(j.errors, 5));
-    for (const auto& [id, until] : j.bad_machines)
+    j.not_before =
+        now + std::min<Micros>(60 * kSecond, settings_.error_backoff << std::min(j.error_count, 5));
+    for (const auto& [id, until] : j.avoided_machines)
       if (auto it = view_.machines.find(id); it != view_.machines.end()) {
         it->second.error_jobs.erase(j.id);
         it->second.suspect_until = 0;
-        view_.gained();
+        view_.note_new_capacity();
       }
-    j.bad_machines.clear();
+    j.avoided_machines.clear();
   } else if (static_cast<int>(m.error_jobs.size()) >= 2) {
     m.suspect_until = now + settings_.suspect_for;
     spdlog::info("machine {} is suspect: tasks of {} jobs failed on it", m.record.id, m.error_jobs.size());
@@ -245,11 +249,11 @@
 }
 
 /// Drops all attempts and results of a machine whose worker has certainly lost them.
-void ShareController::drop_all_attempts(Machine& m, Micros now, Freed why) {
+void ShareController::drop_all_attempts(Machine& m, Micros now, FreeReason why) {
   if (!m.tasks.empty())
     spdlog::info("machine {}: dropped {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
-  while (!m.tasks.empty()) view_.drop(m, m.tasks.begin(), now, why);
-  m.forgets.clear();
+  while (!m.tasks.empty()) view_.free_attempt(m, m.tasks.begin(), now, why);
+  m.pending_forgets.clear();
   m.results.clear();  // the worker loses them with its session
 }
 
@@ -257,13 +261,14 @@
 /// which shows the new token proves that a message has arrived. Until then nothing is placed on the machine,
 /// and attempts whose orders were not sent yet are placed elsewhere.
 void ShareController::doubt_delivery(Machine& m, Micros now, const char* why) {
-  ++m.bump;
-  if (!m.hearing.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
-  m.hearing.doubt(current_token(m), now);
-  view_.to_order.insert(&m);  // push to it at once, to get a report
+  ++m.token_offset;
+  if (!m.delivery.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
+  m.delivery.doubt(current_token(m), now);
+  view_.machines_to_contact.insert(&m);  // push to it at once, to get a report
   for (auto it = m.tasks.begin(); it != m.tasks.end();) {
     auto current = it++;
-    if (current->second.phase == Phase::assigned) view_.drop(m, current, now, Freed::never_sent);
+    if (current->second.phase == AttemptPhase::assigned)
+      view_.free_attempt(m, current, now, FreeReason::never_sent);
   }
 }
 
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -32,17 +32,17 @@
 
 bool ShareController::holds_needed_result_copy(const Machine& m) const {
   return std::any_of(m.results.begin(), m.results.end(),
-                     [&](const auto& r) { return result_copy_needed(r.first, r.second.since); });
+                     [&](const auto& r) { return result_copy_needed(r.first, r.second.first_reported); });
 }
 
 /// Decides what happens to an exited attempt at its worker: a result that may not be recorded yet is kept;
 /// for anything else the worker gets an order to forget it. `before`: the results of the report before, which
 /// tell since when a result has been held.
 void ShareController::retain_or_forget_result(Machine& m, const TaskReport& t,
-                                              const std::map<TaskKey, HeldResult>& before, Micros now) {
+                                              const std::map<TaskKey, UnrecordedResult>& before, Micros now) {
   const TaskKey key{t.job, t.index};
   const auto known = before.find(key);
-  const Micros since = known == before.end() ? now : known->second.since;
+  const Micros since = known == before.end() ? now : known->second.first_reported;
   if (t.cause == Cause::done && result_copy_needed(key, since)) {
     m.results[key] = {t.attempt, since};
     return;
@@ -51,16 +51,16 @@
     spdlog::info("machine {}: dropping the result of {}/{}: no such job", m.record.id, t.job, t.index);
     ++attribution_counts_.dropped_results;
   }
-  m.forgets.push_back({Order::Verb::forget, t.job, t.index, t.attempt, 0});
+  m.pending_forgets.push_back({Order::Verb::forget, t.job, t.index, t.attempt, 0});
 }
 
 /// The only place that decides whether a machine may leave its share, be it to another share, back to the
 /// cloud or after a drain.
 ShareController::ReleaseRefusal ShareController::release_refusal(const Machine& m) const {
   if (!loaded_) return ReleaseRefusal::share_not_loaded;
-  if (!m.accounted) return ReleaseRefusal::not_accounted;
+  if (!m.accounted_for) return ReleaseRefusal::not_accounted;
   if (!m.tasks.empty()) return ReleaseRefusal::holds_attempts;
-  if (m.pushing) return ReleaseRefusal::push_under_way;
+  if (m.push_in_flight) return ReleaseRefusal::push_under_way;
   if (m.leaving) return ReleaseRefusal::leaving;
   // Otherwise the next owner of the machine, or nobody, would have the only copies. If this process ended
   // before it recorded them, the tasks would run again.
@@ -70,9 +70,9 @@
 
 std::set<std::pair<std::string, std::uint32_t>> ShareController::needed_chunks_of_other_shares() const {
   std::set<std::pair<std::string, std::uint32_t>> chunks;
-  for (const Machine* m : view_.all)
+  for (const Machine* m : view_.machines_by_id)
     for (const auto& [task, result] : m->results)
-      if (!view_.jobs.contains(task.first) && result_copy_needed(task, result.since))
+      if (!view_.jobs.contains(task.first) && result_copy_needed(task, result.first_reported))
         chunks.emplace(task.first, task.second / DoneSet::kChunkTasks);
   return chunks;
 }
@@ -82,7 +82,7 @@
   const auto chunks = needed_chunks_of_other_shares();
   // Drops the rows of jobs of which no machine holds a result any more.
   std::erase_if(recorded_by_others_, [&](const auto& known) {
-    return std::none_of(view_.all.begin(), view_.all.end(), [&](const Machine* m) {
+    return std::none_of(view_.machines_by_id.begin(), view_.machines_by_id.end(), [&](const Machine* m) {
       const auto r = m->results.lower_bound({known.first, 0});
       return r != m->results.end() && r->first.first == known.first;
     });
@@ -103,12 +103,12 @@
 
 ShareController::HeldResults ShareController::held_results(Micros now) const {
   HeldResults held;
-  for (const Machine* m : view_.all) {
+  for (const Machine* m : view_.machines_by_id) {
     const std::size_t before = held.results;
     for (const auto& [task, result] : m->results) {
-      if (!result_copy_needed(task, result.since)) continue;
+      if (!result_copy_needed(task, result.first_reported)) continue;
       ++held.results;
-      held.oldest_age = std::max(held.oldest_age, now - result.since);
+      held.oldest_age = std::max(held.oldest_age, now - result.first_reported);
     }
     if (held.results > before) ++held.machines;
   }
@@ -119,16 +119,16 @@
 /// elsewhere, by job.
 std::map<std::string, ShareController::WriteUrgency> ShareController::write_urgency_by_job(Micros now) const {
   std::map<std::string, WriteUrgency> urgent;
-  for (const Machine* m : view_.all) {
+  for (const Machine* m : view_.machines_by_id) {
     if (m->results.empty()) continue;
     const bool waits = m->tasks.empty() || m->drain_until > now;
-    if (!waits && !m->taken_at) continue;
+    if (!waits && !m->reclaim_at) continue;
     std::set<std::string> counted;
     for (const auto& [task, result] : m->results) {
       WriteUrgency& u = urgent[task.first];
       u.units.insert(task.second / DoneSet::kUnitTasks);
       if (!counted.insert(task.first).second) continue;
-      ++(m->taken_at ? u.machines_being_reclaimed : u.machines_to_release);
+      ++(m->reclaim_at ? u.machines_being_reclaimed : u.machines_to_release);
     }
   }
   return urgent;
