--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -13,39 +13,39 @@
         return s.getsockname()[1]
 
 
-class PeerLink:
+class PeerProxy:
     """Frames from one node to another. Cut, it refuses new connections and closes or holds those that are open."""
 
-    def __init__(self, to_port):
-        self.to_port = to_port
-        self.cut = False
-        self.holds = False  # what is sent while it is cut arrives afterwards
+    def __init__(self, target_port):
+        self.target_port = target_port
+        self.blocked = False
+        self.hold_data = False  # what is sent while it is cut arrives afterwards
         self.writers = set()
 
     async def serve(self):
         server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
         return server.sockets[0].getsockname()[1]
 
-    def set_cut(self, cut, holds=False):
-        self.cut, self.holds = cut, holds
-        if cut and not holds:
+    def set_blocked(self, blocked, hold_data=False):
+        self.blocked, self.hold_data = blocked, hold_data
+        if blocked and not hold_data:
             for writer in list(self.writers):
                 writer.close()
 
     async def accept(self, reader, writer):
-        if self.cut:
+        if self.blocked:
             return writer.close()
         try:
-            to_reader, to_writer = await asyncio.open_connection("127.0.0.1", self.to_port)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
         except OSError:
             return writer.close()
-        await asyncio.gather(self.forward(reader, to_writer), self.forward(to_reader, writer))
+        await asyncio.gather(self.forward(reader, target_writer), self.forward(target_reader, writer))
 
     async def forward(self, reader, writer):
         self.writers.add(writer)
         try:
             while data := await reader.read(65536):
-                while self.cut and self.holds:
+                while self.blocked and self.hold_data:
                     await asyncio.sleep(0.05)
                 writer.write(data)
                 await writer.drain()
@@ -56,75 +56,75 @@
 
 
 class Node:
-    def __init__(self, name, binary, folder):
-        self.name, self.binary, self.folder = name, binary, folder
-        self.listen, self.peer_listen = free_port(), free_port()
+    def __init__(self, name, binary, work_dir):
+        self.name, self.binary, self.work_dir = name, binary, work_dir
+        self.http_port, self.peer_port = free_port(), free_port()
         self.process = None
-        self.ended_by_itself = 0
-        self.starts = 0
+        self.unexpected_exits = 0
+        self.start_count = 0
 
     def write_settings(self, settings):
-        self.settings = os.path.join(self.folder, f"{self.name}.json")
-        with open(self.settings, "w") as f:
+        self.settings_path = os.path.join(self.work_dir, f"{self.name}.json")
+        with open(self.settings_path, "w") as f:
             json.dump(settings, f)
 
     def start(self):
-        self.starts += 1
-        with open(os.path.join(self.folder, f"{self.name}.log"), "a") as log:
-            self.process = subprocess.Popen([self.binary, "--config", self.settings], stderr=log, stdout=log,
+        self.start_count += 1
+        with open(os.path.join(self.work_dir, f"{self.name}.log"), "a") as log:
+            self.process = subprocess.Popen([self.binary, "--config", self.settings_path], stderr=log, stdout=log,
                                             env={**os.environ, "LOG_LEVEL": os.environ.get("LOG_LEVEL", "info")})
 
-    def up(self):
+    def is_running(self):
         return self.process is not None and self.process.poll() is None
 
-    def note_ends(self):
+    def count_unexpected_exit(self):
         """Counts a process that nobody has killed."""
         if self.process is not None and self.process.poll() is not None:
-            self.ended_by_itself += 1
+            self.unexpected_exits += 1
             self.process = None
 
     def kill(self):
-        self.note_ends()
-        if self.up():
+        self.count_unexpected_exit()
+        if self.is_running():
             self.process.kill()
             self.process.wait()
         self.process = None
 
-    def stand_still(self):
-        if self.up():
+    def freeze(self):
+        if self.is_running():
             self.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self):
-        if self.up():
+    def resume(self):
+        if self.is_running():
             self.process.send_signal(signal.SIGCONT)
 
 
 class Cluster:
-    def __init__(self, names, binary, folder):
-        self.nodes = {name: Node(name, binary, folder) for name in names}
-        self.links = {}
+    def __init__(self, names, binary, work_dir):
+        self.nodes = {name: Node(name, binary, work_dir) for name in names}
+        self.proxies = {}
 
-    async def prepare(self, params, state_ports, cloud_port):
+    async def configure(self, params, state_ports, cloud_port):
         zones = params["zones"]
         for i, (name, node) in enumerate(self.nodes.items()):
-            siblings = []
-            for j, (other_name, other) in enumerate(self.nodes.items()):
+            peers = []
+            for j, (other_name, other_node) in enumerate(self.nodes.items()):
                 if other_name == name:
                     continue
-                link = self.links[name, other_name] = PeerLink(other.peer_listen)
-                siblings.append({"host_name": other_name, "location": zones[j % len(zones)],
-                                 "peer_addr": f"127.0.0.1:{await link.serve()}"})
+                proxy = self.proxies[name, other_name] = PeerProxy(other_node.peer_port)
+                peers.append({"host_name": other_name, "location": zones[j % len(zones)],
+                                 "peer_addr": f"127.0.0.1:{await proxy.serve()}"})
             node.write_settings({
-                "host_name": name, "location": zones[i % len(zones)], "listen": f"127.0.0.1:{node.listen}",
-                "peer_listen": f"127.0.0.1:{node.peer_listen}", "siblings": siblings,
+                "host_name": name, "location": zones[i % len(zones)], "listen": f"127.0.0.1:{node.http_port}",
+                "peer_listen": f"127.0.0.1:{node.peer_port}", "siblings": peers,
                 "services": {"cloud": f"127.0.0.1:{cloud_port}", "state": f"127.0.0.1:{state_ports[name]}"}, "params": params})
 
-    def cut_peers(self, name, cut, holds=False):
-        for pair, link in self.links.items():
+    def set_peers_blocked(self, name, blocked, hold_data=False):
+        for pair, proxy in self.proxies.items():
             if name in pair:
-                link.set_cut(cut, holds)
+                proxy.set_blocked(blocked, hold_data)
 
-    def end(self):
+    def stop(self):
         for node in self.nodes.values():
-            node.go_on()
+            node.resume()
             node.kill()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -13,112 +13,112 @@
 import tempfile
 import time
 
-from faults import Faults
-from judge import RULES, Judge
+from fault_injector import FaultInjector
+from invariant_checker import VIOLATION_KINDS, InvariantChecker
 from nodes import Cluster
-from plants import Plants
+from violation_injector import ViolationInjector
 from state_service import StateService
 from users import Users
-from workers import World
+from simulated_fleet import SimulatedFleet
 
-WORKERS = {"report_s": 0.6, "lease_s": 4.0, "gang_wait_s": 20.0, "gang_peer_s": 4.0, "cancel_s": 20.0}
-LIMITS = {"tight": 16.0}
-CALM_S = 15  # after the last fault
-LONGEST_PAUSE_S = 70
-ANSWERED_WITHIN_S = 10  # of the end of the calm
+WORKER_SETTINGS = {"report_s": 0.6, "lease_s": 4.0, "gang_wait_s": 20.0, "gang_peer_s": 4.0, "cancel_s": 20.0}
+TEAM_CPU_LIMITS = {"tight": 16.0}
+SETTLE_S = 15  # after the last fault
+MAX_FREEZE_S = 70
+FINAL_POLL_S = 10  # of the end of the calm
 
 
-def params(names):
-    teams = [{"name": t, "cpus": 0, "cpus_max": LIMITS.get(t, 0), "gpus": 0, "gpus_max": 0} for t in ("blue", "red", "tight")]
-    return {"nodes": len(names), "zones": ["z1", "z2", "z3"], "teams": teams, "objectives": [], "workers": WORKERS,
+def cluster_params(node_names):
+    teams = [{"name": team, "cpus": 0, "cpus_max": TEAM_CPU_LIMITS.get(team, 0), "gpus": 0, "gpus_max": 0} for team in ("blue", "red", "tight")]
+    return {"nodes": len(node_names), "zones": ["z1", "z2", "z3"], "teams": teams, "objectives": [], "workers": WORKER_SETTINGS,
             "state": {"rps": 400, "write_rps": 150, "value_kb": 16, "txn_ops": 20}, "cloud": {"rps": 10, "list_lag_s": 0.5},
             "limits": {"cpu": 1.0, "ram_mb": 200, "sockets": 2000}, "clock_error_ms": 50}
 
 
-def raise_failure(task):
+def exit_on_failure(task):
     """A failure of the soak itself ends it, rather than leaving a fault out."""
     if not task.cancelled() and task.exception() is not None:
         task.get_loop().call_exception_handler({"message": "the soak failed", "exception": task.exception()})
         os._exit(3)
 
 
-async def play(seed, options, folder):
+async def run_seed(seed, options, log_dir):
     rng = random.Random(seed)
-    names = [chr(ord("a") + i) for i in range(options.nodes)]
-    judge = Judge(WORKERS["cancel_s"], LIMITS)
-    state = StateService(rng, page_rows=25, kept_changes=80)
-    cluster = Cluster(names, options.binary, folder)
-    ports = {name: node.listen for name, node in cluster.nodes.items()}
-    world = World(rng, judge, ports, WORKERS, options.workers)
+    node_names = [chr(ord("a") + i) for i in range(options.nodes)]
+    checker = InvariantChecker(WORKER_SETTINGS["cancel_s"], TEAM_CPU_LIMITS)
+    state_service = StateService(rng, max_page_rows=25, max_kept_changes=80)
+    cluster = Cluster(node_names, options.binary, log_dir)
+    node_ports = {name: node.http_port for name, node in cluster.nodes.items()}
+    fleet = SimulatedFleet(rng, checker, node_ports, WORKER_SETTINGS, options.workers)
     if options.plant == "nothing_ran":
-        world.most_machines = 0
-    users = Users(rng, judge, ports, submissions_a_second=options.workers / 20)
+        fleet.max_machines = 0
+    users = Users(rng, checker, node_ports, submissions_per_s=options.workers / 20)
     await users.open()
-    await cluster.prepare(params(names), await state.serve(names), await world.serve())
-    faults = Faults(rng, judge, cluster, state, world, min(LONGEST_PAUSE_S, options.seconds))
+    await cluster.configure(cluster_params(node_names), await state_service.serve(node_names), await fleet.serve())
+    fault_injector = FaultInjector(rng, checker, cluster, state_service, fleet, min(MAX_FREEZE_S, options.seconds))
     try:
         for node in cluster.nodes.values():
             node.start()
-        background = [asyncio.create_task(users.submit_for(options.seconds + 5)), asyncio.create_task(users.ask_about_unknown())]
+        background_tasks = [asyncio.create_task(users.submit_for(options.seconds + 5)), asyncio.create_task(users.poll_unknown_jobs())]
         if options.plant:
-            background.append(asyncio.create_task(Plants(judge, world, users).plant(options.plant)))
-        for task in background:
-            task.add_done_callback(raise_failure)
+            background_tasks.append(asyncio.create_task(ViolationInjector(checker, fleet, users).inject(options.plant)))
+        for task in background_tasks:
+            task.add_done_callback(exit_on_failure)
         await asyncio.sleep(5)
-        await faults.play(options.seconds)
-        faults.note("calm")
-        await asyncio.sleep(CALM_S)
-        for job_id, job in list(judge.jobs.items()):
-            if job.accepted and time.monotonic() - job.last_answer > 3:
+        await fault_injector.run(options.seconds)
+        fault_injector.record("calm")
+        await asyncio.sleep(SETTLE_S)
+        for job_id, job in list(checker.jobs.items()):
+            if job.accepted and time.monotonic() - job.last_answered_at > 3:
                 users.spawn(users.poll(job_id))
-        await asyncio.sleep(ANSWERED_WITHIN_S / 2)
+        await asyncio.sleep(FINAL_POLL_S / 2)
         if not options.plant:
-            judge.check_forgotten(CALM_S + ANSWERED_WITHIN_S)
-        judge.check_anything_ran()
+            checker.check_accepted_jobs_answered(SETTLE_S + FINAL_POLL_S)
+        checker.check_any_task_started()
         for node in cluster.nodes.values():
-            node.note_ends()
+            node.count_unexpected_exit()
     finally:
-        cluster.end()
-        rest = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in rest:
+        cluster.stop()
+        remaining_tasks = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in remaining_tasks:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*remaining_tasks, return_exceptions=True)
         await users.session.close()
-        await world.close()
-    ended = sum(node.ended_by_itself for node in cluster.nodes.values())
-    return judge, faults, ended
+        await fleet.close()
+    unexpected_exits = sum(node.unexpected_exits for node in cluster.nodes.values())
+    return checker, fault_injector, unexpected_exits
 
 
-def violations_logged(folder):
+def logged_violations(log_dir):
     lines = []
-    for name in sorted(os.listdir(folder)):
+    for name in sorted(os.listdir(log_dir)):
         if name.endswith(".log"):
-            with open(os.path.join(folder, name), errors="replace") as f:
+            with open(os.path.join(log_dir, name), errors="replace") as f:
                 lines += [f"{name}: {line.strip()}" for line in f if "invariant violated" in line]
     return lines
 
 
-def say(seed, judge, faults, ended, folder):
+def print_result(seed, checker, fault_injector, unexpected_exits, log_dir):
     """Prints what was found; true: nothing."""
-    done = sum(j.done_at is not None for j in judge.jobs.values())
-    cancelled = sum(j.cancelled_at is not None for j in judge.jobs.values())
-    logged = violations_logged(folder)
-    good = not judge.broken and ended == 0 and not logged
-    print(f"seed {seed}: {'ok' if good else 'BROKEN'}, {judge.starts} starts, {len(judge.jobs)} jobs, {done} done, {cancelled} "
-          f"cancelled, {len(faults.schedule)} faults, {ended} ended by themselves", flush=True)
-    if judge.started_under_way:
-        print(f"  {len(judge.started_under_way)} starts of cancelled jobs by orders that were under way, the latest "
-              f"{judge.started_under_way[-1]}")
-    if good:
+    done = sum(j.done_reported_at is not None for j in checker.jobs.values())
+    cancelled = sum(j.cancel_reported_at is not None for j in checker.jobs.values())
+    logged_lines = logged_violations(log_dir)
+    passed = not checker.violations and unexpected_exits == 0 and not logged_lines
+    print(f"seed {seed}: {'ok' if passed else 'BROKEN'}, {checker.start_count} starts, {len(checker.jobs)} jobs, {done} done, {cancelled} "
+          f"cancelled, {len(fault_injector.schedule)} faults, {unexpected_exits} ended by themselves", flush=True)
+    if checker.in_flight_starts:
+        print(f"  {len(checker.in_flight_starts)} starts of cancelled jobs by orders that were under way, the latest "
+              f"{checker.in_flight_starts[-1]}")
+    if passed:
         return True
-    for rule, at, what in judge.broken[:20]:
-        print(f"  {at:.2f} s {rule}: {what}")
-    for line in logged[:20]:
+    for kind, at, detail in checker.violations[:20]:
+        print(f"  {at:.2f} s {kind}: {detail}")
+    for line in logged_lines[:20]:
         print(f"  {line}")
     print("  schedule:")
-    for at, what in faults.schedule:
-        print(f"    {at} s {what}")
-    print(f"  logs in {folder}", flush=True)
+    for at, detail in fault_injector.schedule:
+        print(f"    {at} s {detail}")
+    print(f"  logs in {log_dir}", flush=True)
     return False
 
 
@@ -129,7 +129,7 @@
     parser.add_argument("--seconds", type=float, default=60, help="of faults, per seed")
     parser.add_argument("--nodes", type=int, default=3)
     parser.add_argument("--workers", type=int, default=120, help="machines that the cloud has")
-    parser.add_argument("--plant", choices=RULES, help="a fault that breaks this rule: the judge has to see it")
+    parser.add_argument("--plant", choices=VIOLATION_KINDS, help="a fault that breaks this rule: the judge has to see it")
     options = parser.parse_args()
     try:
         first, last = (int(n) for n in options.seeds.split("-"))
@@ -152,17 +152,17 @@
 
 def main():
     options = parse_options()
-    good = True
+    passed = True
     for seed in options.seeds:
-        folder = tempfile.mkdtemp(prefix="aspenwick-soak-")
-        judge, faults, ended = asyncio.run(play(seed, options, folder))
+        log_dir = tempfile.mkdtemp(prefix="aspenwick-soak-")
+        checker, fault_injector, unexpected_exits = asyncio.run(run_seed(seed, options, log_dir))
         if options.plant:
-            seen = any(rule == options.plant for rule, _, _ in judge.broken)
-            print(f"planted {options.plant}: {'seen' if seen else 'NOT SEEN'}", flush=True)
-            good = good and seen
+            detected = any(kind == options.plant for kind, _, _ in checker.violations)
+            print(f"planted {options.plant}: {'seen' if detected else 'NOT SEEN'}", flush=True)
+            passed = passed and detected
         else:
-            good = say(seed, judge, faults, ended, folder) and good
-    sys.exit(0 if good else 1)
+            passed = print_result(seed, checker, fault_injector, unexpected_exits, log_dir) and passed
+    sys.exit(0 if passed else 1)
 
 
 if __name__ == "__main__":
--- a/tests/soak/state_service.py
+++ b/tests/soak/state_service.py
@@ -4,38 +4,38 @@
 
 from aiohttp import web
 
-LOOK_AGAIN_S = 0.02  # for changes, while a watch is open
+WATCH_POLL_S = 0.02  # for changes, while a watch is open
 
 
 class Lease:
-    def __init__(self, life):
-        self.life = life
-        self.ends = time.monotonic() + life
+    def __init__(self, ttl_s):
+        self.ttl_s = ttl_s
+        self.expires_at = time.monotonic() + ttl_s
 
 
 class StateService:
     """One port for each node, so that a node can be refused alone. `page_rows` and `kept_changes` are small on purpose:
     lists of many pages and 410 are met all the time."""
 
-    def __init__(self, random, page_rows, kept_changes):
-        self.random = random
-        self.page_rows = page_rows
-        self.kept_changes = kept_changes
+    def __init__(self, rng, max_page_rows, max_kept_changes):
+        self.rng = rng
+        self.max_page_rows = max_page_rows
+        self.max_kept_changes = max_kept_changes
         self.rows = {}  # key -> (value, revision, lease or None)
         self.revision = 1
         self.leases = {}
         self.next_lease = 1
         self.changes = []  # (revision, change)
-        self.oldest = 0  # changes up to this revision are forgotten
+        self.compacted_revision = 0  # changes up to this revision are forgotten
         self.down = False
-        self.refused = set()  # nodes
-        self.late_commits = 0.0  # part of commits that are executed seconds later, unanswered
-        self.refused_results = 0.0  # part of commits with rows of results that are refused
-        self.lost_answers = 0.0  # part of answers to commits
-        self.node_of_port = {}
+        self.refused_nodes = set()  # nodes
+        self.delayed_commit_rate = 0.0  # part of commits that are executed seconds later, unanswered
+        self.refused_result_rate = 0.0  # part of commits with rows of results that are refused
+        self.lost_response_rate = 0.0  # part of answers to commits
+        self.node_by_port = {}
 
-    def unavailable(self, node):
-        return self.down or node in self.refused
+    def is_unavailable(self, node):
+        return self.down or node in self.refused_nodes
 
     async def serve(self, nodes):
         """Returns the port for each node."""
@@ -48,13 +48,13 @@
             site = web.TCPSite(runner, "127.0.0.1", 0)
             await site.start()
             ports[node] = site._server.sockets[0].getsockname()[1]
-            self.node_of_port[ports[node]] = node
-        asyncio.create_task(self.expire())
+            self.node_by_port[ports[node]] = node
+        asyncio.create_task(self.expire_leases())
         return ports
 
     async def handle(self, request):
-        node = self.node_of_port[request.transport.get_extra_info("sockname")[1]]
-        if self.unavailable(node):
+        node = self.node_by_port[request.transport.get_extra_info("sockname")[1]]
+        if self.is_unavailable(node):
             return web.json_response({"error": "trouble"}, status=503)
         path = request.path
         if path == "/commit":
@@ -62,106 +62,106 @@
         if path == "/changes":
             return await self.handle_changes(node, request.query)
         if path == "/kv":
-            return self.page(request.query)
+            return self.list_rows(request.query)
         if path.startswith("/kv/"):
-            return self.get(path[len("/kv/"):])
+            return self.get_row(path[len("/kv/"):])
         return await self.handle_lease(request)
 
-    async def handle_commit(self, asked):
-        if any(w.get("set", "").startswith("p/") for w in asked["writes"]) and self.random.random() < self.refused_results:
+    async def handle_commit(self, commit_request):
+        if any(write.get("set", "").startswith("p/") for write in commit_request["writes"]) and self.rng.random() < self.refused_result_rate:
             return web.json_response({"error": "trouble"}, status=503)
-        if self.random.random() < self.late_commits:
-            asyncio.get_running_loop().call_later(self.random.uniform(1, 8), self.commit, asked)
+        if self.rng.random() < self.delayed_commit_rate:
+            asyncio.get_running_loop().call_later(self.rng.uniform(1, 8), self.commit, commit_request)
             await asyncio.sleep(10)
-        status, body = self.commit(asked)
-        if self.random.random() < self.lost_answers:
+        status, body = self.commit(commit_request)
+        if self.rng.random() < self.lost_response_rate:
             await asyncio.sleep(10)
         return web.json_response(body, status=status)
 
-    def commit(self, asked):
-        failed = [g["path"] for g in asked["guards"] if self.rows.get(g["path"], (None, 0))[1] != g["stamp"]]
-        if any(w.get("hold") and w["hold"] not in self.leases for w in asked["writes"]):
+    def commit(self, commit_request):
+        failed = [guard["path"] for guard in commit_request["guards"] if self.rows.get(guard["path"], (None, 0))[1] != guard["stamp"]]
+        if any(write.get("hold") and write["hold"] not in self.leases for write in commit_request["writes"]):
             return 400, {"error": "no such lease"}
         if failed:
             return 409, {"failed": failed, "ledgerRev": self.revision}
-        if asked["writes"]:
+        if commit_request["writes"]:
             self.revision += 1
-        for write in asked["writes"]:
+        for write in commit_request["writes"]:
             if "delete" in write:
-                self.remove(write["delete"])
+                self.delete_row(write["delete"])
             else:
                 self.rows[write["set"]] = (write["value"], self.revision, write.get("hold"))
-                self.log({"set": write["set"], "value": write["value"], "stamp": self.revision})
+                self.append_change({"set": write["set"], "value": write["value"], "stamp": self.revision})
         return 200, {"ledgerRev": self.revision}
 
-    def remove(self, key):
+    def delete_row(self, key):
         if self.rows.pop(key, None) is not None:
-            self.log({"delete": key, "stamp": self.revision})
+            self.append_change({"delete": key, "stamp": self.revision})
 
-    def log(self, change):
+    def append_change(self, change):
         self.changes.append((self.revision, change))
-        while len(self.changes) > self.kept_changes:
-            self.oldest = self.changes.pop(0)[0]
+        while len(self.changes) > self.max_kept_changes:
+            self.compacted_revision = self.changes.pop(0)[0]
 
-    def forget_changes(self):
+    def compact_changes(self):
         self.changes.clear()
-        self.oldest = self.revision
+        self.compacted_revision = self.revision
 
     async def handle_changes(self, node, query):
-        under, since = query["under"], int(query["since"])
-        until = time.monotonic() + int(query.get("holdMs", 0)) / 1000
+        prefix, since_revision = query["under"], int(query["since"])
+        deadline = time.monotonic() + int(query.get("holdMs", 0)) / 1000
         while True:
-            if not self.unavailable(node):
-                if since < self.oldest:
+            if not self.is_unavailable(node):
+                if since_revision < self.compacted_revision:
                     return web.json_response({}, status=410)
-                news = [c for revision, c in self.changes if revision > since and c.get("set", c.get("delete")).startswith(under)]
-                if news or time.monotonic() >= until:
-                    return web.json_response({"ledgerRev": self.revision, "news": news})
-            await asyncio.sleep(LOOK_AGAIN_S)
-
-    def page(self, query):
-        under, since = query["under"], query.get("since", "")
-        keys = sorted(k for k in self.rows if k.startswith(under) and k > since)
-        size = min(self.page_rows, int(query.get("page", 1000)))
-        rows = [{"path": k, "value": self.rows[k][0], "stamp": self.rows[k][1]} for k in keys[:size]]
-        return web.json_response({"rows": rows, "hasNext": len(keys) > size, "ledgerRev": self.revision})
-
-    def get(self, key):
+                matching_changes = [change for revision, change in self.changes if revision > since_revision and change.get("set", change.get("delete")).startswith(prefix)]
+                if matching_changes or time.monotonic() >= deadline:
+                    return web.json_response({"ledgerRev": self.revision, "news": matching_changes})
+            await asyncio.sleep(WATCH_POLL_S)
+
+    def list_rows(self, query):
+        prefix, after_key = query["under"], query.get("since", "")
+        keys = sorted(key for key in self.rows if key.startswith(prefix) and key > after_key)
+        page_size = min(self.max_page_rows, int(query.get("page", 1000)))
+        rows = [{"path": key, "value": self.rows[key][0], "stamp": self.rows[key][1]} for key in keys[:page_size]]
+        return web.json_response({"rows": rows, "hasNext": len(keys) > page_size, "ledgerRev": self.revision})
+
+    def get_row(self, key):
         if key not in self.rows:
             return web.json_response({"ledgerRev": self.revision}, status=404)
-        value, stamp, lease = self.rows[key]
-        return web.json_response({"path": key, "value": value, "stamp": stamp, "hold": lease})
+        value, revision, lease = self.rows[key]
+        return web.json_response({"path": key, "value": value, "stamp": revision, "hold": lease})
 
     async def handle_lease(self, request):
         parts = request.path.strip("/").split("/")
         if parts == ["grants"]:
-            lease = self.next_lease
+            lease_id = self.next_lease
             self.next_lease += 1
-            self.leases[lease] = Lease((await request.json())["lifeMs"] / 1000)
-            return web.json_response({"hold": lease})
-        lease = int(parts[1])
-        if lease not in self.leases:
+            self.leases[lease_id] = Lease((await request.json())["lifeMs"] / 1000)
+            return web.json_response({"hold": lease_id})
+        lease_id = int(parts[1])
+        if lease_id not in self.leases:
             return web.json_response({"error": "no such lease"}, status=404)
         if request.method == "DELETE":
-            self.end_lease(lease)
+            self.end_lease(lease_id)
         else:
-            self.leases[lease].ends = time.monotonic() + self.leases[lease].life
-        return web.json_response({"hold": lease})
+            self.leases[lease_id].expires_at = time.monotonic() + self.leases[lease_id].ttl_s
+        return web.json_response({"hold": lease_id})
 
-    def end_lease(self, lease):
-        del self.leases[lease]
-        gone = [k for k, row in self.rows.items() if row[2] == lease]
-        if gone:
+    def end_lease(self, lease_id):
+        del self.leases[lease_id]
+        deleted_keys = [key for key, row in self.rows.items() if row[2] == lease_id]
+        if deleted_keys:
             self.revision += 1
-        for key in gone:
-            self.remove(key)
+        for key in deleted_keys:
+            self.delete_row(key)
 
-    async def expire(self):
+    async def expire_leases(self):
         while True:
             await asyncio.sleep(0.05)
             now = time.monotonic()
-            for number, lease in list(self.leases.items()):
+            for lease_id, lease in list(self.leases.items()):
                 if self.down:  # an outage restores the full time of all leases
-                    lease.ends = now + lease.life
-                elif now > lease.ends:
-                    self.end_lease(number)
+                    lease.expires_at = now + lease.ttl_s
+                elif now > lease.expires_at:
+                    self.end_lease(lease_id)
