--- a/tests/soak/invariant_checker_test.py
+++ b/tests/soak/invariant_checker_test.py
@@ -1,5 +1,7 @@
 #!/usr/bin/python3
-"""The judge sees each rule broken, and none where none is. Run with the standard library's unittest."""
+"""Tests that the invariant checker detects each kind of violation and reports none for valid runs.
+
+Run with the standard library's unittest."""
 import time
 import unittest
 
@@ -9,6 +11,8 @@
 
 
 class FakeWorker:
+    """The part of a worker that the checker uses."""
+
     def __init__(self, name, zone="z1", spot=False):
         self.name, self.zone, self.spot = name, zone, spot
         self.lease_valid = True
@@ -25,12 +29,14 @@
         self.job = self.add_job("j-1", "red")
 
     def add_job(self, job_id, team):
+        """Adds an accepted job of two tasks with two processors each."""
         job = Job({"owner": team, "pieces": 2, "vcpus": 2.0, "site": None, "loaner": True})
         job.accepted = True
         self.checker.jobs[job_id] = job
         return job
 
     def violation_kinds(self):
+        """The kinds that the checker has recorded, in order."""
         return [kind for kind, _, _ in self.checker.violations]
 
     def test_job_that_runs_once_has_no_violation(self):
@@ -55,6 +61,7 @@
         self.assertEqual(self.violation_kinds(), [])
 
     def run_to_completion(self, worker):
+        """Runs task j-1/0 on the worker until it is done."""
         self.checker.on_task_started(worker, "j-1/0", 1)
         self.checker.on_task_ended(worker, "j-1/0", done=True)
 
@@ -80,7 +87,7 @@
         self.run_to_completion(self.first_worker)
         self.checker.on_results_lost(self.first_worker)
         self.run_to_completion(self.second_worker)
-        self.second_worker.lease_valid = False  # and not looked at yet
+        self.second_worker.lease_valid = False  # the worker has not ended its session yet
         self.checker.on_task_started(self.first_worker, "j-1/0", 3)
         self.assertEqual(self.violation_kinds(), [])
 
@@ -118,7 +125,8 @@
 
     def test_start_by_an_order_in_flight_at_the_cancellation_is_only_counted(self):
         self.job.cancel_reported_at = time.monotonic() - 10
-        self.checker.on_task_started(self.first_worker, "j-1/0", 1, order_sent_at=self.job.cancel_reported_at + 0.1)
+        self.checker.on_task_started(self.first_worker, "j-1/0", 1,
+                                     order_sent_at=self.job.cancel_reported_at + 0.1)
         self.assertEqual(self.violation_kinds(), [])
         self.assertEqual(len(self.checker.in_flight_starts), 1)
 
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The processes under test, and proxies between them that can be cut."""
+"""The aspenwick processes under test, and proxies between them that can block traffic."""
 import asyncio
 import json
 import os
@@ -14,15 +14,18 @@
 
 
 class PeerProxy:
-    """Frames from one node to another. Cut, it refuses new connections and closes or holds those that are open."""
+    """A TCP proxy for the peer connections from one node to another.
+
+    While blocked it refuses new connections, and closes the open ones or holds their data."""
 
     def __init__(self, target_port):
         self.target_port = target_port
         self.blocked = False
-        self.hold_data = False  # what is sent while it is cut arrives afterwards
+        self.hold_data = False  # data sent on open connections while blocked is delivered afterwards
         self.writers = set()
 
     async def serve(self):
+        """Returns the port on which the proxy listens."""
         server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
         return server.sockets[0].getsockname()[1]
 
@@ -56,6 +59,8 @@
 
 
 class Node:
+    """An aspenwick process, its ports, settings and log. Settings and log are written to `work_dir`."""
+
     def __init__(self, name, binary, work_dir):
         self.name, self.binary, self.work_dir = name, binary, work_dir
         self.http_port, self.peer_port = free_port(), free_port()
@@ -71,14 +76,15 @@
     def start(self):
         self.start_count += 1
         with open(os.path.join(self.work_dir, f"{self.name}.log"), "a") as log:
-            self.process = subprocess.Popen([self.binary, "--config", self.settings_path], stderr=log, stdout=log,
-                                            env={**os.environ, "LOG_LEVEL": os.environ.get("LOG_LEVEL", "info")})
+            self.process = subprocess.Popen(
+                [self.binary, "--config", self.settings_path], stderr=log, stdout=log,
+                env={**os.environ, "LOG_LEVEL": os.environ.get("LOG_LEVEL", "info")})
 
     def is_running(self):
         return self.process is not None and self.process.poll() is None
 
     def count_unexpected_exit(self):
-        """Counts a process that nobody has killed."""
+        """Counts the process if it has exited without `kill`."""
         if self.process is not None and self.process.poll() is not None:
             self.unexpected_exits += 1
             self.process = None
@@ -91,6 +97,7 @@
         self.process = None
 
     def freeze(self):
+        """Stops the process with SIGSTOP until `resume`."""
         if self.is_running():
             self.process.send_signal(signal.SIGSTOP)
 
@@ -100,11 +107,14 @@
 
 
 class Cluster:
+    """All nodes, with a proxy for each ordered pair of them."""
+
     def __init__(self, names, binary, work_dir):
         self.nodes = {name: Node(name, binary, work_dir) for name in names}
         self.proxies = {}
 
     async def configure(self, params, state_ports, cloud_port):
+        """Starts the proxies and writes the settings; `state_ports` has the state service's port by node."""
         zones = params["zones"]
         for i, (name, node) in enumerate(self.nodes.items()):
             peers = []
@@ -113,13 +123,15 @@
                     continue
                 proxy = self.proxies[name, other_name] = PeerProxy(other_node.peer_port)
                 peers.append({"host_name": other_name, "location": zones[j % len(zones)],
-                                 "peer_addr": f"127.0.0.1:{await proxy.serve()}"})
+                              "peer_addr": f"127.0.0.1:{await proxy.serve()}"})
             node.write_settings({
                 "host_name": name, "location": zones[i % len(zones)], "listen": f"127.0.0.1:{node.http_port}",
                 "peer_listen": f"127.0.0.1:{node.peer_port}", "siblings": peers,
-                "services": {"cloud": f"127.0.0.1:{cloud_port}", "state": f"127.0.0.1:{state_ports[name]}"}, "params": params})
+                "services": {"cloud": f"127.0.0.1:{cloud_port}", "state": f"127.0.0.1:{state_ports[name]}"},
+                "params": params})
 
     def set_peers_blocked(self, name, blocked, hold_data=False):
+        """Blocks or unblocks all traffic between the node and its peers."""
         for pair, proxy in self.proxies.items():
             if name in pair:
                 proxy.set_blocked(blocked, hold_data)
--- a/tests/soak/simulated_fleet.py
+++ b/tests/soak/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the cloud and for the workers on its machines, speaking the protocol with leases, sessions and tokens."""
+"""A simulated cloud and the workers on its machines, which use leases, sessions and tokens as real ones do."""
 import asyncio
 import json
 import time
@@ -6,24 +6,29 @@
 import aiohttp
 from aiohttp import web
 
-RESPONSE_TIMEOUT_S = 4
-MACHINE_TYPE = {"sku": "cpu8", "vcpus": 8, "cards": 0, "ramGb": 32, "localGb": 20, "fetchGbPerS": 1.0, "price": 0.8, "lowPrice": 0.3,
-        "startupS": 1, "sites": ["z1", "z2", "z3"]}
+RESPONSE_TIMEOUT_S = 4  # of reports; a later response is ignored
+MACHINE_TYPE = {"sku": "cpu8", "vcpus": 8, "cards": 0, "ramGb": 32, "localGb": 20, "fetchGbPerS": 1.0,
+                "price": 0.8, "lowPrice": 0.3, "startupS": 1, "sites": ["z1", "z2", "z3"]}
 
 
 class TaskRun:
+    """An attempt of a task on a worker."""
+
     def __init__(self, run_time_s):
         self.remaining_s = run_time_s
-        self.end_cause = None  # why it has ended
+        self.end_cause = None  # the cause to report; None while it runs
 
 
 class Worker:
+    """A machine's worker. Answered reports extend the lease of its session; when that expires, it drops all tasks
+    and results and begins a new session. It ignores orders with an older token than it has seen."""
+
     def __init__(self, fleet, name, zone, spot):
         self.fleet = fleet
         self.name, self.zone, self.spot = name, zone, spot
         self.port = None
         self.session, self.report_seq, self.token = 1, 0, 0
-        self.tasks = {}  # (task, attempt) -> Task
+        self.tasks = {}  # (task, attempt) -> TaskRun
         self.lease_expires_at = time.monotonic() + fleet.lease_s
         self.node = fleet.rng.choice(fleet.node_names)
         self.hung_until = self.inbound_blocked_until = self.outbound_blocked_until = 0
@@ -43,9 +48,9 @@
             if run.end_cause:
                 task_report["cause"] = run.end_cause
             task_reports.append(task_report)
-        return {"rig": self.name, "endpoint": f"127.0.0.1:{self.port}", "rigtype": MACHINE_TYPE["sku"], "site": self.zone,
-                "loaner": self.spot, "stint": self.session, "tally": self.report_seq, "baton": self.token, "warningS": None,
-                "pieces": task_reports}
+        return {"rig": self.name, "endpoint": f"127.0.0.1:{self.port}", "rigtype": MACHINE_TYPE["sku"],
+                "site": self.zone, "loaner": self.spot, "stint": self.session, "tally": self.report_seq,
+                "baton": self.token, "warningS": None, "pieces": task_reports}
 
     def end_session_if_lease_expired(self):
         if time.monotonic() <= self.lease_expires_at:
@@ -71,14 +76,17 @@
             del self.tasks[attempt_key]
 
     def launch(self, attempt_key, order_sent_at=None):
+        """Starts an attempt, or ends it at once with in_use if another attempt of the task runs here."""
         task, attempt = attempt_key
         self.tasks[attempt_key] = TaskRun(self.fleet.draw_run_time_s())
-        if any(other_key[0] == task and other_key != attempt_key and run.end_cause is None for other_key, run in self.tasks.items()):
+        if any(other_key[0] == task and other_key != attempt_key and run.end_cause is None
+               for other_key, run in self.tasks.items()):
             self.tasks[attempt_key].end_cause = "in_use"
             return
         self.fleet.checker.on_task_started(self, task, attempt, order_sent_at)
 
     def advance(self, seconds):
+        """Lets the tasks run for that time; a hung worker does nothing and keeps its state."""
         if self.is_hung():
             return
         self.end_session_if_lease_expired()
@@ -91,7 +99,9 @@
                 self.fleet.checker.on_task_ended(self, task, done=True)
 
     def handle_push(self, body, order_sent_at):
-        """A direct command, on time or late; None if the machine doesn't execute it."""
+        """Handles an order push, on time or late. Returns the HTTP status and a report.
+
+        A push with an older token or for another session is not executed; its status is 409."""
         self.end_session_if_lease_expired()
         accepted = body["baton"] >= self.token and body["stint"] == self.session
         if accepted:
@@ -102,7 +112,7 @@
 
 
 class SimulatedFleet:
-    """The cloud and all machines. `node_ports`: where each node listens for reports."""
+    """The cloud's API and all machines. `node_ports`: the port of each node for reports."""
 
     def __init__(self, rng, checker, node_ports, worker_settings, max_machines):
         self.rng, self.checker = rng, checker
@@ -110,12 +120,13 @@
         self.node_names = sorted(node_ports)
         self.lease_s, self.report_s = worker_settings["lease_s"], worker_settings["report_s"]
         self.max_machines = max_machines
-        self.workers = {}
-        self.rented_count = 0
-        self.rental_responses = {}  # request name -> machines
-        self.zone_partition = None  # (zone, node): they reach each other and nobody else
-        self.delayed_push_rate = self.replayed_report_rate = 0.0
-        self.slow_report_rate = 0.0  # part of reports that take up to a second, so that answers to commands overtake them
+        self.workers = {}  # name -> Worker, of the rented machines
+        self.rented_count = 0  # of all machines so far, for their names
+        self.rental_responses = {}  # name of the request -> machines; a repeated request gets the same again
+        self.zone_partition = None  # (zone, node) that reach each other and no other zone or node
+        self.delayed_push_rate = self.replayed_report_rate = 0.0  # fractions of order pushes and of reports
+        # Fraction of reports that take up to a second, so that responses to order pushes overtake them.
+        self.slow_report_rate = 0.0
 
     def draw_run_time_s(self):
         outlasts_lease = self.rng.random() < 0.3
@@ -131,12 +142,14 @@
         return (worker.zone == zone) == (node == node_inside)
 
     async def serve(self):
-        """Returns the cloud's port."""
+        """Starts the cloud's API and the machines' clock. Returns the port of the cloud's API."""
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0),
                                              timeout=aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_S))
-        self.worker_runner = await self.start_app({"/do": self.handle_push_request, "/show": self.handle_report_request})
-        cloud_runner = await self.start_app({"/flavors": self.handle_machine_types, "/rentals": self.handle_rentals,
-                                      "/rentals/delete": self.handle_rental_delete})
+        self.worker_runner = await self.start_app({"/do": self.handle_push_request,
+                                                   "/show": self.handle_report_request})
+        cloud_runner = await self.start_app({"/flavors": self.handle_machine_types,
+                                             "/rentals": self.handle_rentals,
+                                             "/rentals/delete": self.handle_rental_delete})
         self.worker_by_port = {}
         asyncio.create_task(self.advance())
         return await self.listen(cloud_runner)
@@ -173,8 +186,9 @@
 
     async def handle_rentals(self, request):
         if request.method == "GET":
-            rows = [{"nameId": w.name, "endpoint": f"127.0.0.1:{w.port}", "rigtype": MACHINE_TYPE["sku"], "site": w.zone, "loaner": w.spot,
-                     "status": "running", "ageS": 1.0} for _, w in sorted(self.workers.items())]
+            rows = [{"nameId": w.name, "endpoint": f"127.0.0.1:{w.port}", "rigtype": MACHINE_TYPE["sku"],
+                     "site": w.zone, "loaner": w.spot, "status": "running", "ageS": 1.0}
+                    for _, w in sorted(self.workers.items())]
             return web.json_response({"rigs": rows, "hasNext": False})
         rental_request = await request.json()
         if rental_request["hire"] in self.rental_responses:
@@ -186,7 +200,8 @@
         for _ in range(count):
             self.rented_count += 1
             names.append(f"i-{self.rented_count:06d}")
-            self.workers[names[-1]] = Worker(self, names[-1], rental_request["site"], rental_request["loaner"])
+            self.workers[names[-1]] = Worker(self, names[-1], rental_request["site"],
+                                             rental_request["loaner"])
             asyncio.create_task(self.run_worker(self.workers[names[-1]]))
         self.rental_responses[rental_request["hire"]] = names
         return web.json_response({"rigs": names})
@@ -201,7 +216,7 @@
                 self.checker.on_task_ended(worker, task)
         return web.json_response({})
 
-    # ---- commands
+    # ---- order pushes
     async def handle_push_request(self, request):
         worker = self.worker_by_port[request.transport.get_extra_info("sockname")[1]]
         body = await request.json()
@@ -209,7 +224,7 @@
         if "baton" not in body or "stint" not in body:
             return web.json_response({}, status=400)
         if self.zone_partition is not None and worker.zone == self.zone_partition[0]:
-            await asyncio.sleep(10)  # who sends it isn't known here: nobody's commands reach the zone, reports do
+            await asyncio.sleep(10)  # the sender isn't known here: pushes of all nodes are held, reports pass
         if self.rng.random() < self.delayed_push_rate:
             await asyncio.sleep(self.rng.uniform(2, 10))
             if not worker.terminated and not worker.is_hung():
@@ -223,10 +238,12 @@
         return web.json_response(report, status=status)
 
     async def handle_report_request(self, request):
-        return web.json_response(self.worker_by_port[request.transport.get_extra_info("sockname")[1]].build_report())
+        return web.json_response(
+            self.worker_by_port[request.transport.get_extra_info("sockname")[1]].build_report())
 
     # ---- reports
     async def run_worker(self, worker):
+        """Boots the machine, then reports until it is terminated."""
         await asyncio.sleep(self.rng.uniform(0.1, 1.5))
         worker.port = await self.listen(self.worker_runner)
         self.worker_by_port[worker.port] = worker
@@ -244,7 +261,9 @@
         worker.node = self.node_names[(index + 1) % len(self.node_names)]
 
     async def send_report(self, worker):
-        """Returns how long to wait before the next."""
+        """Reports to the worker's node and executes the orders in the response. Returns the delay of the next one.
+
+        After an error the worker turns to the next node, after a redirect (421) to the node that it names."""
         node, sent_at, session, body = worker.node, time.monotonic(), worker.session, worker.build_report()
         if self.rng.random() < self.replayed_report_rate:
             asyncio.create_task(self.replay_report(body, self.rng.uniform(1, 3 * self.lease_s)))
@@ -257,7 +276,8 @@
         except (aiohttp.ClientError, asyncio.TimeoutError, ValueError):
             self.next_node(worker)
             return 0.3
-        if worker.terminated or worker.is_hung() or time.monotonic() < worker.inbound_blocked_until or not self.reachable(worker, node):
+        if worker.terminated or worker.is_hung() or time.monotonic() < worker.inbound_blocked_until or not self.reachable(
+                worker, node):
             return 0.3
         if time.monotonic() - sent_at > RESPONSE_TIMEOUT_S:
             return 0.3
@@ -276,10 +296,12 @@
         return self.report_s * self.rng.uniform(0.75, 1.25)
 
     async def post_report(self, node, body):
-        async with self.session.post(f"http://127.0.0.1:{self.node_ports[node]}/hello", data=json.dumps(body)) as response:
+        async with self.session.post(f"http://127.0.0.1:{self.node_ports[node]}/hello",
+                                     data=json.dumps(body)) as response:
             return response.status, await response.json(content_type=None)
 
     async def replay_report(self, body, delay):
+        """Sends a copy of a report later to a random node, as a network may that duplicates and delays."""
         await asyncio.sleep(delay)
         try:
             await self.post_report(self.rng.choice(self.node_names), body)
--- a/tests/soak/state_service.py
+++ b/tests/soak/state_service.py
@@ -1,44 +1,48 @@
-"""A stand-in for the state service: keys with revisions, leases, watches, and the faults that a soak injects."""
+"""A simulated state service: rows with revisions, leases, watches, and the faults that the soak injects."""
 import asyncio
 import time
 
 from aiohttp import web
 
-WATCH_POLL_S = 0.02  # for changes, while a watch is open
+WATCH_POLL_S = 0.02  # interval at which an open watch looks for changes
 
 
 class Lease:
+    """Expires at `expires_at` unless it is extended, by `ttl_s` seconds from then."""
+
     def __init__(self, ttl_s):
         self.ttl_s = ttl_s
         self.expires_at = time.monotonic() + ttl_s
 
 
 class StateService:
-    """One port for each node, so that a node can be refused alone. `page_rows` and `kept_changes` are small on purpose:
-    lists of many pages and 410 are met all the time."""
+    """Listens on one port for each node, so that it can refuse the requests of a single node.
+
+    `max_page_rows` and `max_kept_changes` should be small, so that lists of several pages, and watches
+    answered 410 because their changes were discarded, occur all the time."""
 
     def __init__(self, rng, max_page_rows, max_kept_changes):
         self.rng = rng
         self.max_page_rows = max_page_rows
         self.max_kept_changes = max_kept_changes
-        self.rows = {}  # key -> (value, revision, lease or None)
+        self.rows = {}  # key -> (value, revision, lease id or None)
         self.revision = 1
-        self.leases = {}
+        self.leases = {}  # id -> Lease
         self.next_lease = 1
         self.changes = []  # (revision, change)
-        self.compacted_revision = 0  # changes up to this revision are forgotten
-        self.down = False
-        self.refused_nodes = set()  # nodes
-        self.delayed_commit_rate = 0.0  # part of commits that are executed seconds later, unanswered
-        self.refused_result_rate = 0.0  # part of commits with rows of results that are refused
-        self.lost_response_rate = 0.0  # part of answers to commits
+        self.compacted_revision = 0  # changes up to this revision have been discarded
+        self.down = False  # an outage: every request fails
+        self.refused_nodes = set()  # names of nodes whose requests fail
+        self.delayed_commit_rate = 0.0  # fraction of commits executed seconds later and not answered in time
+        self.refused_result_rate = 0.0  # fraction of commits with rows of task results that are refused
+        self.lost_response_rate = 0.0  # fraction of executed commits that are not answered in time
         self.node_by_port = {}
 
     def is_unavailable(self, node):
         return self.down or node in self.refused_nodes
 
     async def serve(self, nodes):
-        """Returns the port for each node."""
+        """Starts the service. Returns the port for each node."""
         app = web.Application()
         app.router.add_route("*", "/{tail:.*}", self.handle)
         runner = web.AppRunner(app, access_log=None)
@@ -68,7 +72,8 @@
         return await self.handle_lease(request)
 
     async def handle_commit(self, commit_request):
-        if any(write.get("set", "").startswith("p/") for write in commit_request["writes"]) and self.rng.random() < self.refused_result_rate:
+        if any(write.get("set", "").startswith("p/")
+               for write in commit_request["writes"]) and self.rng.random() < self.refused_result_rate:
             return web.json_response({"error": "trouble"}, status=503)
         if self.rng.random() < self.delayed_commit_rate:
             asyncio.get_running_loop().call_later(self.rng.uniform(1, 8), self.commit, commit_request)
@@ -79,7 +84,9 @@
         return web.json_response(body, status=status)
 
     def commit(self, commit_request):
-        failed = [guard["path"] for guard in commit_request["guards"] if self.rows.get(guard["path"], (None, 0))[1] != guard["stamp"]]
+        """Executes all writes under one new revision, or none. Returns the HTTP status and the answer."""
+        failed = [guard["path"] for guard in commit_request["guards"]
+                  if self.rows.get(guard["path"], (None, 0))[1] != guard["stamp"]]
         if any(write.get("hold") and write["hold"] not in self.leases for write in commit_request["writes"]):
             return 400, {"error": "no such lease"}
         if failed:
@@ -104,26 +111,32 @@
             self.compacted_revision = self.changes.pop(0)[0]
 
     def compact_changes(self):
+        """Discards all changes: watches from older revisions are answered 410."""
         self.changes.clear()
         self.compacted_revision = self.revision
 
     async def handle_changes(self, node, query):
+        """Answers with changes after a revision, once there are any or `holdMs` has passed."""
         prefix, since_revision = query["under"], int(query["since"])
         deadline = time.monotonic() + int(query.get("holdMs", 0)) / 1000
         while True:
             if not self.is_unavailable(node):
                 if since_revision < self.compacted_revision:
                     return web.json_response({}, status=410)
-                matching_changes = [change for revision, change in self.changes if revision > since_revision and change.get("set", change.get("delete")).startswith(prefix)]
+                matching_changes = [change for revision, change in self.changes
+                                    if revision > since_revision
+                                    and change.get("set", change.get("delete")).startswith(prefix)]
                 if matching_changes or time.monotonic() >= deadline:
                     return web.json_response({"ledgerRev": self.revision, "news": matching_changes})
             await asyncio.sleep(WATCH_POLL_S)
 
     def list_rows(self, query):
+        """One page of the rows under a prefix, after a key."""
         prefix, after_key = query["under"], query.get("since", "")
         keys = sorted(key for key in self.rows if key.startswith(prefix) and key > after_key)
         page_size = min(self.max_page_rows, int(query.get("page", 1000)))
-        rows = [{"path": key, "value": self.rows[key][0], "stamp": self.rows[key][1]} for key in keys[:page_size]]
+        rows = [{"path": key, "value": self.rows[key][0], "stamp": self.rows[key][1]}
+                for key in keys[:page_size]]
         return web.json_response({"rows": rows, "hasNext": len(keys) > page_size, "ledgerRev": self.revision})
 
     def get_row(self, key):
@@ -149,6 +162,7 @@
         return web.json_response({"hold": lease_id})
 
     def end_lease(self, lease_id):
+        """Ends the lease and deletes the rows that it holds."""
         del self.leases[lease_id]
         deleted_keys = [key for key, row in self.rows.items() if row[2] == lease_id]
         if deleted_keys:
@@ -161,7 +175,7 @@
             await asyncio.sleep(0.05)
             now = time.monotonic()
             for lease_id, lease in list(self.leases.items()):
-                if self.down:  # an outage restores the full time of all leases
+                if self.down:  # an outage restores the full duration of every lease
                     lease.expires_at = now + lease.ttl_s
                 elif now > lease.expires_at:
                     self.end_lease(lease_id)
