--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -63,11 +63,11 @@
         await self.restart(node, 0.1)
 
     async def refuse_results_and_kill_owners(self):
-        """Results not yet written are known only to their workers and the shares' owners, while machines are still
-        moved and released."""
+        """Results not yet written are known only to their workers and the shares' owners, while machines are
+        still moved between shares and released."""
         duration_s = self.rng.uniform(4, 12)
         self.record(
-            f"writes of results are refused for {duration_s:.1f} s, two nodes are killed, restart after 0.05 s")
+            f"writes of results are refused for {duration_s:.1f} s, two nodes killed, restart after 0.05 s")
         self.state_service.refused_result_rate = 1.0
         for _ in range(2):
             await asyncio.sleep(duration_s / 2)
--- a/tests/soak/simulated_fleet.py
+++ b/tests/soak/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated cloud and the workers on its machines, which use leases, sessions and tokens as real ones do."""
+"""A simulated cloud and the workers on its machines, which use leases, sessions and tokens as real ones."""
 import asyncio
 import json
 import time
@@ -20,8 +20,8 @@
 
 
 class Worker:
-    """A machine's worker. Answered reports extend the lease of its session; when that expires, it drops all tasks
-    and results and begins a new session. It ignores orders with an older token than it has seen."""
+    """A machine's worker. Answered reports extend the lease of its session; when that expires, it drops all
+    tasks and results and begins a new session. It ignores orders with an older token than it has seen."""
 
     def __init__(self, fleet, name, zone, spot):
         self.fleet = fleet
@@ -261,7 +261,9 @@
         worker.node = self.node_names[(index + 1) % len(self.node_names)]
 
     async def send_report(self, worker):
-        """Reports to the worker's node and executes the orders in the response. Returns the delay of the next one.
+        """Reports to the worker's node and executes the orders in the response.
+
+        Returns the delay before the next report, in seconds.
 
         After an error the worker turns to the next node, after a redirect (421) to the node that it names."""
         node, sent_at, session, body = worker.node, time.monotonic(), worker.session, worker.build_report()
