--- a/tests/soak/invariant_checker_test.py
+++ b/tests/soak/invariant_checker_test.py
@@ -22,7 +22,7 @@
         return self.lease_valid
 
 
-class JudgeTest(unittest.TestCase):
+class InvariantCheckerTest(unittest.TestCase):
     def setUp(self):
         self.checker = InvariantChecker(CANCEL_S, {"tight": 4.0})
         self.first_worker, self.second_worker = FakeWorker("i-1"), FakeWorker("i-2", zone="z2", spot=True)
--- a/tests/soak/simulated_fleet.py
+++ b/tests/soak/simulated_fleet.py
@@ -263,9 +263,8 @@
     async def send_report(self, worker):
         """Reports to the worker's node and executes the orders in the response.
 
-        Returns the delay before the next report, in seconds.
-
-        After an error the worker turns to the next node, after a redirect (421) to the node that it names."""
+        Returns the delay before the next report, in seconds. After an error the worker turns to the next node,
+        after a redirect (421) to the node that it names."""
         node, sent_at, session, body = worker.node, time.monotonic(), worker.session, worker.build_report()
         if self.rng.random() < self.replayed_report_rate:
             asyncio.create_task(self.replay_report(body, self.rng.uniform(1, 3 * self.lease_s)))
