--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -181,7 +181,7 @@
     auto& r = w.reports[i];
     if (!r.tasks.empty()) {
       r.tasks[0].state = wire::TaskState::exited;
-      r.tasks[0].cause = wire::Cause::done;
+      r.tasks[0].cause = wire::ExitCause::done;
     }
     w.report(r);
     w.holder->tick(w.now, place::StartRefusal::none);
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -35,7 +35,7 @@
 
 Controller::Controller(const wire::PlatformSettings& platform, const OperatorSettings& ops, Needs needs)
     : loop_(needs.loop),
-      reports_every_(platform.report),
+      reports_every_(platform.report_interval),
       store_(loop_, needs.http, platform),
       records_(platform, {loop_, store_,
                           [this](const std::string& id, const job::JobRecord& record) {
@@ -67,7 +67,7 @@
                    },
                    [this](const std::string& m) { leader_.adopted(m); },
                    [this](int share) { return peer_service_.told_owner(share); }, [this] { poke(); }}) {
-  store_.observe([this](Micros took) { state_calls_.add(took); });
+  store_.set_latency_observer([this](Micros took) { state_calls_.add(took); });
   store_.watch(kShared,
                {[this](const std::vector<wire::Row>& rows, std::uint64_t as_of) { reset(rows, as_of); },
                 [this](const std::vector<wire::Row>& rows) { changed(rows); },
@@ -75,14 +75,14 @@
                   owned_shares_.records_read();
                   poke();
                 }});
-  loop_.every(kTick, [this] { tick(); });
+  loop_.call_every(kTick, [this] { tick(); });
   owned_shares_.find_former();
-  loop_.every(kGossip, [this] { peer_service_.gossip(); });
-  loop_.every(kHeartbeat, [this] { peer_service_.heartbeat(); });
-  loop_.every(kLead, [this] { lead(); });
-  loop_.every(kKeep, [this] { owned_shares_.tick(); });
-  loop_.every(kReplan, [this] { replan(); });
-  loop_.every(kMetrics, [this] { metrics(); });
+  loop_.call_every(kGossip, [this] { peer_service_.gossip(); });
+  loop_.call_every(kHeartbeat, [this] { peer_service_.heartbeat(); });
+  loop_.call_every(kLead, [this] { lead(); });
+  loop_.call_every(kKeep, [this] { owned_shares_.tick(); });
+  loop_.call_every(kReplan, [this] { replan(); });
+  loop_.call_every(kMetrics, [this] { metrics(); });
 }
 
 // ---------------------------------------------------------------- requests and frames
@@ -91,9 +91,9 @@
   const std::string path = x->path();
   const bool get = x->method() == Method::get, post = x->method() == Method::post;
   static const std::string kJobs = "/v1/jobs";
-  if (path == kReportPath) return post ? worker_api_.report(x) : x->refuse_method("POST");
-  if (path == "/ready") return get ? ready(x) : x->refuse_method("GET");
-  if (path == kJobs) return post ? job_api_.submit(x) : x->refuse_method("POST");
+  if (path == kReportPath) return post ? worker_api_.report(x) : x->respond_method_not_allowed("POST");
+  if (path == "/ready") return get ? ready(x) : x->respond_method_not_allowed("GET");
+  if (path == kJobs) return post ? job_api_.submit(x) : x->respond_method_not_allowed("POST");
   if (path.starts_with(kJobs + "/")) {
     std::string id = path.substr(kJobs.size() + 1);
     static const std::string kWithdraw = "/withdraw";
@@ -101,7 +101,7 @@
     if (to_cancel) id.resize(id.size() - kWithdraw.size());
     if (id.find('/') != std::string::npos || id.empty())
       return x->answer(404, wire::error_body("no such path"));
-    if (to_cancel ? !post : !get) return x->refuse_method(to_cancel ? "POST" : "GET");
+    if (to_cancel ? !post : !get) return x->respond_method_not_allowed(to_cancel ? "POST" : "GET");
     if (!wire::valid_job_id(id)) return x->answer(404, wire::error_body("no such job"));
     return to_cancel ? job_api_.cancel(x, id) : job_api_.status(x, id);
   }
@@ -162,7 +162,7 @@
 void Controller::poke() {
   if (tick_soon_) return;
   tick_soon_ = true;
-  loop_.later(kSoon, [this] { tick(); });
+  loop_.call_later(kSoon, [this] { tick(); });
 }
 
 void Controller::tick() {
@@ -261,7 +261,7 @@
   spdlog::info(
       "metrics: records as of {:.3f} s ago, {} catch-ups, {} old answers of the state service, "
       "{} plans of the leader refused",
-      to_seconds(loop_.now() - records_.read_as_of()), store_.catch_ups(), store_.old_answers(),
+      to_seconds(loop_.now() - records_.read_as_of()), store_.catch_up_count(), store_.stale_responses(),
       lead_refused_);
   spdlog::info("metrics: reports {} users {} jobs {} machines {} shares {}{}", worker_api_.reports(),
                job_api_.requests(), records_.jobs().size(), records_.machines().size(),
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -80,7 +80,7 @@
 void JobApi::confirm(const ExchangePtr& x, const std::string& id, Micros until) {
   if (needs_.may_confirm(id)) return x->answer(200, wire::status_body(id, JobStatus::cancelled));
   if (needs_.loop.now() >= until) return retry(x, "the owner of its share may not know the cancellation yet");
-  needs_.loop.later(kConfirmAgain, [this, x, id, until] { confirm(x, id, until); });
+  needs_.loop.call_later(kConfirmAgain, [this, x, id, until] { confirm(x, id, until); });
 }
 
 /// No submission is refused for good before the state service has said that its id isn't there: it may be a
@@ -114,7 +114,7 @@
   if (needs_.records.types().empty()) return retry(x, "machine types not known yet");
   if (const auto why = job::never_runs(spec, needs_.records.types(), platform_.teams); !why.empty())
     return refuse(x, 422, spec.id, why);
-  if (needs_.store.crowded()) return x->answer(429, wire::error_body("over budget"), 2);
+  if (needs_.store.overloaded()) return x->answer(429, wire::error_body("over budget"), 2);
   job::keep_known_types(spec, needs_.records.types());
   s->record.spec = std::make_shared<const wire::JobSpec>(std::move(spec));
   s->record.submitted = needs_.loop.time_of_day();
@@ -125,7 +125,7 @@
 /// only the state service's word counts.
 void JobApi::check_needs(const std::shared_ptr<Submission>& s) {
   static const std::string kService = "a service that it needs can never be done";
-  const auto& needs = s->record.spec->needs;
+  const auto& needs = s->record.spec->dependencies;
   for (; s->next_need < needs.size(); ++s->next_need) {
     const std::string& id = needs[s->next_need];
     if (const auto* known = needs_.records.job(id)) {
@@ -159,7 +159,7 @@
   // Nor those of our former process: the time of day may step back between the two, a late deletion of parts
   // of one of its tries may still be executed.
   s->tag = platform_.name + "-" + std::to_string(incarnation_) + "-" + std::to_string(++tags_);
-  s->rows = job::rows_of(s->record, platform_.value_room(), s->tag);
+  s->rows = job::rows_of(s->record, platform_.value_size_limit(), s->tag);
   s->record.parts = static_cast<std::uint32_t>(s->rows.parts.size());
   s->record.parts_tag = s->tag;
   write_record(s);
@@ -171,7 +171,7 @@
   std::vector<wire::Guard> guards;
   std::vector<wire::Write> writes;
   std::size_t bytes = 0;
-  for (; s->next_part < s->rows.parts.size() && writes.size() < needs_.store.txn_ops(); ++s->next_part) {
+  for (; s->next_part < s->rows.parts.size() && writes.size() < needs_.store.max_txn_ops(); ++s->next_part) {
     const std::string& part = s->rows.parts[s->next_part];
     if (!writes.empty() && bytes + part.size() > kTransactionRoom) break;
     bytes += part.size();
@@ -256,7 +256,7 @@
     const std::uint32_t ask = ++asked_;
     if (needs_.peers.send(key->node, share::StatusRequest{ask, id})) {
       asks_[ask] = {x, id};
-      needs_.loop.later(kPeerAnswer, [this, ask] {
+      needs_.loop.call_later(kPeerAnswer, [this, ask] {
         auto a = asks_.find(ask);
         if (a == asks_.end()) return;
         const StatusWait wait = std::move(a->second);
@@ -294,7 +294,7 @@
     if (const auto* known = needs_.records.job(id); !record.spec && known) record.spec = known->spec;
     // `done` and `cancelled` race by the guard: one of them finds the record changed.
     needs_.store.commit({{kJob + id, row.version}},
-                        {{kJob + id, job::cancelled_value(record, platform_.value_room()), {}, false}},
+                        {{kJob + id, job::cancelled_value(record, platform_.value_size_limit()), {}, false}},
                         store::Urgency::accept,
                         [this, x, id, tries, record](int commit, std::uint64_t revision) mutable {
                           if (commit == 409) return cancel(x, id, tries - 1);
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -63,7 +63,7 @@
                         fetching_types_ = false;
                         if (code != 200) return;
                         try {
-                          const auto types = wire::parse_types(body);
+                          const auto types = wire::parse_machine_types(body);
                           if (provisioner_) provisioner_->prices(types);
                           if (types_.empty() && !types.empty()) needs_.found_types(types);
                         } catch (const std::exception& e) {
@@ -82,9 +82,9 @@
                         listing_ = false;
                         if (code != 200 || !provisioner_) return;
                         try {
-                          auto page = wire::parse_cloud_page(body);
+                          auto page = wire::parse_cloud_machine_page(body);
                           sofar->insert(sofar->end(), page.machines.begin(), page.machines.end());
-                          if (page.more && !page.machines.empty())
+                          if (page.has_more && !page.machines.empty())
                             return list_machines(sofar->back().id, sofar);
                           provisioner_->listed(*sofar, machines_, needs_.now());
                         } catch (const std::exception& e) {
@@ -97,25 +97,26 @@
   if (calls_left_ < 1) return provisioner_->rented(rent, 429, {}, needs_.now() - 3600 * kSecond);
   calls_left_ -= 1;
   const std::string request = request_names_.next(epoch_);
-  needs_.http.request(net::Method::post, platform_.cloud, "/rentals",
-                      wire::rental_body(request, types_[rent.type].name, rent.zone, rent.spot, rent.count),
-                      kCloudDeadline, [this, epoch = epoch_, rent](int code, const std::string& body) {
-                        if (!provisioner_ || epoch_ != epoch) return;
-                        std::vector<std::string> ids;
-                        if (code == 200) try {
-                            ids = wire::parse_rented(body);
-                          } catch (const std::exception& e) {
-                            spdlog::error("cloud: {}", e.what());
-                          }
-                        provisioner_->rented(rent, code, ids, needs_.now());
-                      });
+  needs_.http.request(
+      net::Method::post, platform_.cloud, "/rentals",
+      wire::rental_request_body(request, types_[rent.type].name, rent.zone, rent.spot, rent.count),
+      kCloudDeadline, [this, epoch = epoch_, rent](int code, const std::string& body) {
+        if (!provisioner_ || epoch_ != epoch) return;
+        std::vector<std::string> ids;
+        if (code == 200) try {
+            ids = wire::parse_rented_ids(body);
+          } catch (const std::exception& e) {
+            spdlog::error("cloud: {}", e.what());
+          }
+        provisioner_->rented(rent, code, ids, needs_.now());
+      });
 }
 
 void Leader::remove(const fleet::Delete& gone) {
   if (calls_left_ < 1) return provisioner_->deleted(gone.machines, false, needs_.now());
   calls_left_ -= 1;
   needs_.http.request(net::Method::post, platform_.cloud, "/rentals/delete",
-                      wire::rental_delete_body(gone.machines), kCloudDeadline,
+                      wire::rental_delete_request_body(gone.machines), kCloudDeadline,
                       [this, epoch = epoch_, ids = gone.machines](int code, const std::string&) {
                         if (!provisioner_ || epoch_ != epoch || code != 200) return;
                         provisioner_->deleted(ids, true, needs_.now());
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -14,7 +14,7 @@
 #include "app/sockets.h"
 #include "net/event_loop.h"
 #include "net/http.h"
-#include "net/patience.h"
+#include "net/retry.h"
 #include "share/ownership.h"
 #include "share/peer_link.h"
 
@@ -53,7 +53,7 @@
   net::Client workers(loop.base(), kToAWorker, budget.pushes);
   std::unique_ptr<app::Controller> controller;
   // Both ports first: while they are ours, no former process of this node lives.
-  const auto peers = net::patiently(
+  const auto peers = net::retry_on_error(
       [&] {
         return std::make_unique<share::PeerLink>(
             loop.base(), platform, [&](const share::Frame& f, const share::PeerTransport::Reply& reply) {
@@ -61,11 +61,11 @@
             });
       },
       kBindTimes, kBindPause);
-  const auto server = net::patiently(
+  const auto server = net::retry_on_error(
       [&] {
         return std::make_unique<net::Server>(
             loop.base(), platform.listen,
-            net::Server::Limits{budget.callers, std::max(kIdle, 5 * platform.report),
+            net::Server::Limits{budget.callers, std::max(kIdle, 5 * platform.report_interval),
                                 [](const std::string& path) { return path == app::kReportPath; }},
             [&](const net::ExchangePtr& x) { controller->asked(x); });
       },
@@ -74,13 +74,13 @@
   const std::uint64_t incarnation = (std::uint64_t{random()} << 32 | random()) | 1;  // not 0
   controller = std::make_unique<app::Controller>(
       platform, ops, app::Controller::Needs{loop, http, workers, *peers, incarnation});
-  loop.every(kSocketsSaid, [&] {
+  loop.call_every(kSocketsSaid, [&] {
     const auto& open = server->connections();
     spdlog::info("metrics: sockets: workers in {}, others in {} of {}, pushes out {} of {}, services out {}",
-                 open.machines(), open.open() - open.machines(), open.room(), workers.open(), budget.pushes,
-                 http.open());
+                 open.worker_count(), open.open_count() - open.worker_count(), open.capacity(),
+                 workers.open_count(), budget.pushes, http.open_count());
   });
-  spdlog::info("{} listens on {}", platform.name, platform.listen.text());
+  spdlog::info("{} listens on {}", platform.name, platform.listen.to_string());
   loop.run();
 }
 
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -75,7 +75,7 @@
   if (lease == own_.lease() || !ending_.insert(lease).second) return;
   needs_.store.revoke(lease, [this, lease](int code) {
     if (code == 200 || code == 404) return;
-    needs_.loop.later(kEndAgain, [this, lease] {
+    needs_.loop.call_later(kEndAgain, [this, lease] {
       ending_.erase(lease);
       end_former(lease);
     });
@@ -85,7 +85,7 @@
 void OwnedShares::find_former() {
   needs_.store.get(kNode + platform_.name, store::Urgency::accept, [this](int code, const wire::Row& row) {
     if (code == 404 || records().synced()) return;
-    if (code != 200) return needs_.loop.later(kEndAgain, [this] { find_former(); });
+    if (code != 200) return needs_.loop.call_later(kEndAgain, [this] { find_former(); });
     try {
       end_former(row.value.at("lease").get<std::uint64_t>());
     } catch (const std::exception& e) {
@@ -188,7 +188,7 @@
                                                     std::uint64_t) {
     OwnedShare* owned = find(s, made);
     if (!owned) return;
-    if (!ok) return needs_.loop.later(kLoadAgain, [this, s, made] { load_done(s, made); });
+    if (!ok) return needs_.loop.call_later(kLoadAgain, [this, s, made] { load_done(s, made); });
     std::vector<std::string> over;
     for (const auto& r : rows) {
       const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -67,7 +67,7 @@
   take_key(kOwner + std::to_string(s), kToken + std::to_string(s), [this, s](int code) {
     if (code == 200) spdlog::info("share {}: taken", s);
     // The watch tells.
-    needs_.loop.later(code == 200 ? kSecond : 150 * kMillisecond, [this, s] { taking_.erase(s); });
+    needs_.loop.call_later(code == 200 ? kSecond : 150 * kMillisecond, [this, s] { taking_.erase(s); });
   });
 }
 
@@ -75,7 +75,7 @@
   if (taking_leader_) return;
   taking_leader_ = true;
   take_key(kLeader, kToken + "leader", [this](int code) {
-    needs_.loop.later(code == 200 ? kSecond : 200 * kMillisecond, [this] { taking_leader_ = false; });
+    needs_.loop.call_later(code == 200 ? kSecond : 200 * kMillisecond, [this] { taking_leader_ = false; });
   });
 }
 
@@ -106,8 +106,8 @@
                           h->handing_back = false;
                           return;
                         }
-                        needs_.loop.later(kHandBackAgain,
-                                          [this, s, made, version] { remove_key(s, made, version, true); });
+                        needs_.loop.call_later(
+                            kHandBackAgain, [this, s, made, version] { remove_key(s, made, version, true); });
                       });
 }
 
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -15,7 +15,7 @@
 share::PeerState PeerService::state_of_us() const {
   const auto& own = needs_.owned_shares.ownership();
   const Micros now = needs_.loop.now();
-  return {own.reports_state_service_reachable(needs_.store.ok(now), now),
+  return {own.reports_state_service_reachable(needs_.store.reachable(now), now),
           needs_.records.synced(),
           own.lease().value_or(0),
           now,
@@ -93,7 +93,7 @@
 std::vector<std::string> PeerService::other_owners(const std::string& job, std::uint64_t revision) const {
   const auto& own = needs_.owned_shares.ownership();
   const auto* record = needs_.records.job(job);
-  const bool keys_known = revision != 0 && needs_.store.watched() >= revision;
+  const bool keys_known = revision != 0 && needs_.store.watched_revision() >= revision;
   if (keys_known && record && record->spec) {
     const OwnerKey* key = own.owner(own.share_of_team(record->spec->team));
     if (!key || key->node == platform_.name) return {};
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -176,7 +176,7 @@
   std::vector<wire::Write> writes;
   for (std::size_t i = 0; i < keys.size(); ++i) {
     writes.push_back({std::move(keys[i]), nullptr, {}, true});
-    if (writes.size() < needs_.store.txn_ops() && i + 1 < keys.size()) continue;
+    if (writes.size() < needs_.store.max_txn_ops() && i + 1 < keys.size()) continue;
     needs_.store.commit({}, std::exchange(writes, {}), store::Urgency::background, [](int, std::uint64_t) {});
   }
 }
@@ -209,12 +209,12 @@
   if (freshening_) return;
   freshening_ = true;
   // Those who ask within a moment share a read; at most so many reads a second, however many ask.
-  needs_.loop.later(kGatherAsking, [this] { read_fresh(); });
+  needs_.loop.call_later(kGatherAsking, [this] { read_fresh(); });
 }
 
 void Records::read_fresh() {
   auto asked = std::make_shared<std::vector<std::function<void(bool)>>>(std::exchange(want_fresh_, {}));
-  const std::uint64_t since = std::max(fresh_to_, needs_.store.watched());
+  const std::uint64_t since = std::max(fresh_to_, needs_.store.watched_revision());
   const Micros sent = needs_.loop.now();
   needs_.store.changes(
       kJob, since, [this, asked, sent](bool ok, const std::vector<wire::Row>& rows, std::uint64_t revision) {
@@ -228,7 +228,7 @@
         }
         for (const auto& f : *asked) f(ok);
         freshening_ = !want_fresh_.empty();
-        if (freshening_) needs_.loop.later(kGatherAsking, [this] { read_fresh(); });
+        if (freshening_) needs_.loop.call_later(kGatherAsking, [this] { read_fresh(); });
       });
 }
 
@@ -241,7 +241,7 @@
   needs_.store.commit({{kNode + platform_.name, it == readers_.end() ? 0 : it->second.second}},
                       {{kNode + platform_.name, {{"lease", lease}, {"reads", kReads}}, lease, false}},
                       store::Urgency::background, [this](int, std::uint64_t) {
-                        needs_.loop.later(kSecond, [this] { announcing_ = false; });
+                        needs_.loop.call_later(kSecond, [this] { announcing_ = false; });
                       });
 }
 
@@ -250,16 +250,16 @@
 void Records::read_types(const wire::Row& row) {
   if (!types_.empty()) return;
   if (row.key == kTypes) {
-    types_ = wire::types_from_json(row.value);
+    types_ = wire::machine_types_from_json(row.value);
     return;
   }
-  type_parts_[std::stoul(row.key.substr(kTypes.size() + 1))] = wire::types_from_json(row.value);
+  type_parts_[std::stoul(row.key.substr(kTypes.size() + 1))] = wire::machine_types_from_json(row.value);
   if (type_parts_.size() < row.value.at("rows").get<std::size_t>()) return;
   for (const auto& [n, types] : type_parts_) types_.insert(types_.end(), types.begin(), types.end());
 }
 
 void Records::write_types(const std::vector<wire::MachineType>& types) {
-  const auto rows = job::types_rows(types, platform_.value_room());
+  const auto rows = job::types_rows(types, platform_.value_size_limit());
   if (rows.size() == 1)
     return needs_.store.commit({{kTypes, 0}}, {{kTypes, rows[0], {}, false}}, store::Urgency::user,
                                [](int, std::uint64_t) {});
@@ -284,7 +284,7 @@
     if (it == machines_.end()) continue;
     guards.push_back({kMachine + id, it->second.version});
     writes.push_back({kMachine + id, nullptr, {}, true});
-    if (writes.size() >= std::min(kForgetAtOnce, needs_.store.txn_ops())) flush();
+    if (writes.size() >= std::min(kForgetAtOnce, needs_.store.max_txn_ops())) flush();
   }
   flush();
 }
--- a/src/app/records.h
+++ b/src/app/records.h
@@ -78,7 +78,7 @@
   /// can't be asked. Several askers share a read.
   void fresh_jobs(std::function<void(bool)> then);
   /// The revision up to which all job records are known; 0: not yet.
-  std::uint64_t read_to() const { return synced_ ? std::max(needs_.store.watched(), fresh_to_) : 0; }
+  std::uint64_t read_to() const { return synced_ ? std::max(needs_.store.watched_revision(), fresh_to_) : 0; }
   /// All job records are known as they were then, or later.
   Micros read_as_of() const { return std::max(needs_.store.watched_as_of(), fresh_as_of_); }
   /// A row on `lease`, ours, that says which formats we read.
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -46,12 +46,12 @@
                       static_cast<double>(needs_.owned_shares.all().size());
   progress_level_ = std::min(std::max(2.0, 2 * pace), progress_level_ + to_seconds(t - last_done_) * pace);
   last_done_ = t;
-  if (progress_level_ < 1 || !needs_.store.writes_spare()) return;
+  if (progress_level_ < 1 || !needs_.store.has_spare_writes()) return;
   for (auto& [s, owned] : needs_.owned_shares.all()) {
     if (!needs_.owned_shares.owns(owned)) continue;
     const auto most = static_cast<std::size_t>(std::max(0.0, progress_level_));
     const auto writes =
-        owned.controller->take_done_writes(std::min({needs_.store.txn_ops(), kDoneAtOnce, most}), t);
+        owned.controller->take_done_writes(std::min({needs_.store.max_txn_ops(), kDoneAtOnce, most}), t);
     progress_level_ -= static_cast<double>(writes.size());
     if (writes.empty()) continue;
     std::vector<wire::Guard> guards{{owner_key(s), owned.key_version}};
@@ -133,7 +133,7 @@
   std::vector<std::string> rest;
   for (const auto& name : owned.controller->done_row_keys(id)) {
     const std::string key = kProgress + std::to_string(s) + "/" + name;
-    if (writes.size() < needs_.store.txn_ops())
+    if (writes.size() < needs_.store.max_txn_ops())
       writes.push_back({key, nullptr, {}, true});
     else
       rest.push_back(key);
@@ -151,7 +151,7 @@
                           needs_.poke();  // what waited for it starts at once
                           return;
                         }
-                        needs_.loop.later(kFinishAgain, [this, s, made, id] {
+                        needs_.loop.call_later(kFinishAgain, [this, s, made, id] {
                           if (auto* h = needs_.owned_shares.find(s, made))
                             h->controller->set_committing(id, false);
                         });
@@ -161,7 +161,7 @@
 /// The records below a cancelled job follow what users are told already: in batches, by whoever holds the
 /// share.
 void ResultWriter::cancel_doomed() {
-  if (cancelling_ || needs_.records.graph().to_cancel().empty() || !needs_.store.writes_spare()) return;
+  if (cancelling_ || needs_.records.graph().to_cancel().empty() || !needs_.store.has_spare_writes()) return;
   for (auto& [s, owned] : needs_.owned_shares.all())
     if (needs_.owned_shares.owns(owned) && cancel_doomed(s, owned)) return;
 }
@@ -175,9 +175,9 @@
     if (!j || j->final() || !j->spec) continue;
     if (needs_.owned_shares.ownership().share_of_team(j->spec->team) != s) continue;
     guards.push_back({kJob + id, j->version});
-    writes.push_back({kJob + id, job::cancelled_value(*j, platform_.value_room()), {}, false});
+    writes.push_back({kJob + id, job::cancelled_value(*j, platform_.value_size_limit()), {}, false});
     ids.push_back(id);
-    if (ids.size() >= std::min(needs_.store.txn_ops(), cancel_batch_)) break;
+    if (ids.size() >= std::min(needs_.store.max_txn_ops(), cancel_batch_)) break;
   }
   if (ids.empty()) return false;
   cancelling_ = true;
@@ -246,15 +246,15 @@
       std::move(guards), std::move(writes), urgency,
       [this, m = std::move(m), from, made, key_version, unsure](int code, std::uint64_t) mutable {
         const bool not_known = code == 0 || code == 409 || unsure;
-        needs_.loop.later(code != 200 && not_known ? kMoveUnknown : kMoveAgain,
-                          [this, m = std::move(m), from, made, key_version, code, not_known]() mutable {
-                            if (code == 200)
-                              moving_.erase(m.id);
-                            else if (not_known)
-                              commit_move(std::move(m), from, made, key_version, true);
-                            else
-                              stay(m.id, from);
-                          });
+        needs_.loop.call_later(code != 200 && not_known ? kMoveUnknown : kMoveAgain,
+                               [this, m = std::move(m), from, made, key_version, code, not_known]() mutable {
+                                 if (code == 200)
+                                   moving_.erase(m.id);
+                                 else if (not_known)
+                                   commit_move(std::move(m), from, made, key_version, true);
+                                 else
+                                   stay(m.id, from);
+                               });
       });
 }
 
@@ -270,7 +270,7 @@
                        moving_.erase(m.id);  // moved, or gone: the watch tells
                        return;
                      }
-                     needs_.loop.later(kMoveAgain, [this, m = std::move(m), from, made]() mutable {
+                     needs_.loop.call_later(kMoveAgain, [this, m = std::move(m), from, made]() mutable {
                        stay_unless_moved(std::move(m), from, made);
                      });
                    });
--- a/src/app/sockets.h
+++ b/src/app/sockets.h
@@ -18,7 +18,7 @@
 
 /// All parts together with the services' and peers' stay within `sockets`, however few; each is at least 1.
 inline SocketBudget socket_budget(const wire::PlatformSettings& p) {
-  const auto all = static_cast<std::size_t>(std::max(p.sockets, 1));
+  const auto all = static_cast<std::size_t>(std::max(p.max_sockets, 1));
   SocketBudget b;
   b.pushes = std::max<std::size_t>(1, all / 10);
   b.spare = std::max<std::size_t>(1, all / 16);
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -47,7 +47,7 @@
   if (!own.may_renew_worker_leases(share, now)) return refuse(x, share, "", "no right to act");
   const auto told = owned->controller->on_report(r, now, needs_.owned_shares.refusal(*owned));
   if (!told) return x->answer(503, wire::error_body("no right to act"));
-  x->answer(200, wire::report_answer(told->token, told->orders));
+  x->answer(200, wire::report_response(told->token, told->orders));
   needs_.poke();
 }
 
@@ -109,7 +109,7 @@
     return;
   }
   ++pushing_;
-  needs_.workers.request(net::Method::post, to, "/do", wire::direct_orders(p.token, p.session, p.orders),
+  needs_.workers.request(net::Method::post, to, "/do", wire::push_body(p.token, p.session, p.orders),
                          kPushDeadline,
                          [this, share, made, machine = p.machine](int code, const std::string& body) {
                            pushed(share, made, machine, code, body);
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -43,11 +43,11 @@
   std::erase_if(booting_, [&](const auto& e) {
     if (seen.contains(e.first)) return false;
     const Micros quiet = now - (e.second.was_listed ? e.second.last_listed : e.second.rented);
-    return quiet > 4 * platform_.list_lag;
+    return quiet > 4 * platform_.cloud_list_lag;
   });
   std::erase_if(failed_, [&](const auto& e) { return !seen.contains(e.first); });
   std::erase_if(deleting_, [&](const auto& e) {
-    return now - e.second > 6 * platform_.list_lag && !seen.contains(e.first);
+    return now - e.second > 6 * platform_.cloud_list_lag && !seen.contains(e.first);
   });
 }
 
@@ -84,7 +84,7 @@
 }
 
 std::uint32_t Provisioner::rooms_in(const share::Demand& d, const wire::Resources& room) const {
-  return static_cast<std::uint32_t>(d.need.times_in(room, kMostRooms));
+  return static_cast<std::uint32_t>(d.need.copies_that_fit(room, kMostRooms));
 }
 
 bool Provisioner::suits(const Want& w, std::size_t type, const std::string& zone, bool spot) const {
@@ -137,7 +137,7 @@
   // What has a record is up, whatever an answer of the cloud says: it must not be taken for a straggler.
   std::erase_if(booting_, [&](const auto& b) { return records.contains(b.first); });
   for (const auto& [id, b] : booting_) {
-    const Micros boot = b.type < types_.size() ? types_[b.type].boot : 0;
+    const Micros boot = b.type < types_.size() ? types_[b.type].boot_time : 0;
     const auto limit = static_cast<Micros>(settings_.straggler_factor * static_cast<double>(boot)) +
                        settings_.straggler_extra;
     if (plan.now - b.rented > limit || failed_.contains(id)) condemn(id);
--- a/src/fleet/provisioner_renting.cpp
+++ b/src/fleet/provisioner_renting.cpp
@@ -98,7 +98,7 @@
     // sooner than new ones.
     const bool urgent = w.demand.rank >= wire::Rank::production
                             ? w.demand.slack_ms == 0
-                            : w.demand.slack_ms < to_seconds(types_[o.type].boot) * 1000;
+                            : w.demand.slack_ms < to_seconds(types_[o.type].boot_time) * 1000;
     if (dear && !urgent && !can_wait(w.demand)) continue;
     // It displaces work that can wait long before a dear machine has booted; that work has its own measure.
     if (dear && w.demand.rank == wire::Rank::high && w.demand.shape == wire::Shape::array &&
--- a/src/job/graph.cpp
+++ b/src/job/graph.cpp
@@ -32,7 +32,7 @@
     const Node& n = *next.back();
     next.pop_back();
     if (!n.known && n.status == JobStatus::queued) return false;
-    for (const Node* m : n.needs)
+    for (const Node* m : n.dependencies)
       if (m->status == JobStatus::queued && seen.insert(m).second) next.push_back(m);
   }
   return true;
@@ -46,7 +46,7 @@
   auto it = nodes_.find(id);
   if (it == nodes_.end() && record.spec && record.status == JobStatus::queued)
     ++history_[record.spec->job_class].jobs;
-  if (it == nodes_.end() && (!record.spec || record.spec->needs.empty())) return;
+  if (it == nodes_.end() && (!record.spec || record.spec->dependencies.empty())) return;
   Node& n = it == nodes_.end() ? node(id) : it->second;
   if (!n.known && record.spec) learn(n, record);
   if (record.status == JobStatus::done && n.status != JobStatus::done) record_done(n, record);
@@ -65,16 +65,16 @@
   if (!n.dependents.empty()) ++history_[n.job_class].followed;
   for (const Node* d : n.dependents)
     if (d->undecided()) raise(n, *d);
-  for (const auto& id : spec.needs) {
+  for (const auto& id : spec.dependencies) {
     Node& m = node(id);
     if (&m == &n) continue;
     if (const JobRecord* r = m.known || m.status != JobStatus::queued ? nullptr : lookup_(id)) {
       // It needs nothing itself, or it would have a node of its own by now.
-      if (r->spec && r->spec->needs.empty()) learn(m, *r);
+      if (r->spec && r->spec->dependencies.empty()) learn(m, *r);
       if (r->status == JobStatus::done) record_done(m, *r);
       if (r->status == JobStatus::cancelled) record_cancelled(m);
     }
-    n.needs.push_back(&m);
+    n.dependencies.push_back(&m);
     m.dependents.push_back(&n);
     if (m.known && m.dependents.size() == 1) ++history_[m.job_class].followed;
     if (m.status == JobStatus::done) {
@@ -120,7 +120,7 @@
   n.status = JobStatus::cancelled;
   to_cancel_.erase(n.id);
   doom_below(n);
-  reconsider(n.needs);
+  reconsider(n.dependencies);
 }
 
 /// All that needs it, directly or through others; step by step, as chains may be long.
@@ -136,7 +136,7 @@
       if (d->status == JobStatus::queued) to_cancel_.insert(d->id);
       mark(*d);
       next.push_back(d);
-      granted.insert(granted.end(), d->needs.begin(), d->needs.end());
+      granted.insert(granted.end(), d->dependencies.begin(), d->dependencies.end());
     }
   }
   reconsider(std::move(granted));
@@ -184,7 +184,7 @@
     Node& from = *next.front();
     next.pop_front();
     from.queued = false;
-    for (Node* m : from.needs) {
+    for (Node* m : from.dependencies) {
       if (!m->undecided() || !raise(*m, from)) continue;
       mark(*m);
       if (!m->queued) m->queued = true, next.push_back(m);
@@ -207,7 +207,7 @@
       if (d->undecided()) raise(n, *d);
     if (before == std::pair{n.rank, n.finish_by}) continue;
     mark(n);
-    for (Node* m : n.needs)
+    for (Node* m : n.dependencies)
       if (!m->queued && m->undecided()) m->queued = true, next.push_back(m);
   }
 }
@@ -231,7 +231,7 @@
     for (const Node* d : n.dependents)
       if (d->undecided()) raise(n, *d);
     if (before != n.finish_by) mark(n);
-    for (Node* m : n.needs)
+    for (Node* m : n.dependencies)
       if (auto w = waiting.find(m); w != waiting.end() && --w->second == 0) next.push_back(m);
   }
 }
--- a/src/job/graph.h
+++ b/src/job/graph.h
@@ -62,7 +62,7 @@
     std::optional<Micros> deadline, finish_by;  // times of day
     wire::Rank own = wire::Rank::low, rank = wire::Rank::low;
     std::uint32_t open = 0;  // needed jobs not recorded as done
-    std::vector<Node*> needs, dependents;
+    std::vector<Node*> dependencies, dependents;
 
     bool undecided() const { return status == JobStatus::queued && !doomed; }
   };
--- a/src/job/record.cpp
+++ b/src/job/record.cpp
@@ -51,25 +51,25 @@
   if (!w.spec) return record_to_json(w);
   wire::JobSpec spec = *w.spec;
   spec.types.reset();
-  spec.needs.clear();
+  spec.dependencies.clear();
   if (spec.image.size() + spec.job_class.size() > limit / 16) spec.image.clear(), spec.job_class = spec.team;
   w.spec = std::make_shared<const JobSpec>(std::move(spec));
   return record_to_json(w);
 }
 
 std::vector<wire::Json> types_rows(const std::vector<wire::MachineType>& types, std::size_t limit) {
-  std::vector<wire::Json> rows{wire::types_to_json(types)};
+  std::vector<wire::Json> rows{wire::machine_types_to_json(types)};
   if (rows[0].dump().size() <= limit) return rows;
   rows.clear();
   std::vector<wire::MachineType> some;
   for (const auto& t : types) {
     some.push_back(t);
-    if (some.size() == 1 || wire::types_to_json(some).dump().size() + 16 <= limit) continue;
+    if (some.size() == 1 || wire::machine_types_to_json(some).dump().size() + 16 <= limit) continue;
     some.pop_back();
-    rows.push_back(wire::types_to_json(some));
+    rows.push_back(wire::machine_types_to_json(some));
     some = {t};
   }
-  rows.push_back(wire::types_to_json(some));
+  rows.push_back(wire::machine_types_to_json(some));
   for (auto& r : rows) r["rows"] = rows.size();
   return rows;
 }
--- a/src/net/connections.h
+++ b/src/net/connection_table.h
@@ -10,41 +10,41 @@
 
 namespace aspenwick::net {
 
-class Connections {
+class ConnectionTable {
  public:
   /// What tells a connection from the others while it is open.
   using Id = const void*;
-  enum class Owner { machine, other };
+  enum class ClientKind { worker, other };
 
   /// `room` (over 0): as many may be open; beyond it nobody is sure to reach us, the load balancer's probes
   /// included.
-  explicit Connections(std::size_t room) : room_(room) {}
+  explicit ConnectionTable(std::size_t capacity) : capacity_(capacity) {}
 
   /// A request came on it.
-  void used(Id id, Owner owner);
+  void on_request(Id id, ClientKind kind);
   /// The request was answered.
-  void answered(Id id);
-  void closed(Id id);
+  void on_response(Id id);
+  void on_close(Id id);
 
   /// With its next answer: over three quarters of the room are taken, and it is not a machine's. Machines
   /// report on theirs for good, users come back on another node.
-  bool ask_to_close(Id id) const;
+  bool should_close_on_response(Id id) const;
   /// Beyond nine tenths of the room: those of others on which nothing is asked, the longest idle first.
-  std::vector<Id> to_close() const;
+  std::vector<Id> idle_to_close() const;
 
-  std::size_t open() const { return all_.size(); }
-  std::size_t machines() const { return machines_; }
-  std::size_t room() const { return room_; }
+  std::size_t open_count() const { return connections_.size(); }
+  std::size_t worker_count() const { return worker_count_; }
+  std::size_t capacity() const { return capacity_; }
 
  private:
-  struct Open {
-    Owner owner;
-    int asked = 0;  // requests not answered yet
-    std::list<Id>::iterator at;
+  struct Connection {
+    ClientKind kind;
+    int pending = 0;  // requests not answered yet
+    std::list<Id>::iterator position;
   };
-  std::size_t room_, machines_ = 0;
-  std::unordered_map<Id, Open> all_;
-  std::list<Id> order_;  // the longest unused first
+  std::size_t capacity_, worker_count_ = 0;
+  std::unordered_map<Id, Connection> connections_;
+  std::list<Id> by_last_request_;  // the longest unused first
 };
 
 }  // namespace aspenwick::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -6,7 +6,7 @@
 namespace aspenwick::net {
 namespace {
 
-event_base* make_base() {
+event_base* create_event_base() {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -17,39 +17,43 @@
 }
 
 template <typename Clock>
-Micros micros_of() {
+Micros clock_micros() {
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
 }
 
 }  // namespace
 
-EventLoop::EventLoop() : base_(make_base()) {}
+EventLoop::EventLoop() : base_(create_event_base()) {}
 
 EventLoop::~EventLoop() {
-  for (auto& t : timers_) event_free(t.source);
+  for (auto& t : timers_) event_free(t.timer_event);
 }
 
-Micros EventLoop::now() const { return micros_of<std::chrono::steady_clock>(); }
-Micros EventLoop::time_of_day() const { return micros_of<std::chrono::system_clock>(); }
+Micros EventLoop::now() const { return clock_micros<std::chrono::steady_clock>(); }
+Micros EventLoop::time_of_day() const { return clock_micros<std::chrono::system_clock>(); }
 
-void EventLoop::later(Micros delay, std::function<void()> what) { add(delay, true, std::move(what)); }
-void EventLoop::every(Micros period, std::function<void()> what) { add(period, false, std::move(what)); }
+void EventLoop::call_later(Micros delay, std::function<void()> callback) {
+  add_timer(delay, true, std::move(callback));
+}
+void EventLoop::call_every(Micros period, std::function<void()> callback) {
+  add_timer(period, false, std::move(callback));
+}
 
-void EventLoop::add(Micros delay, bool once, std::function<void()> what) {
-  const auto it = timers_.insert(timers_.end(), {this, std::move(what), once, nullptr, {}});
+void EventLoop::add_timer(Micros delay, bool once, std::function<void()> callback) {
+  const auto it = timers_.insert(timers_.end(), {this, std::move(callback), once, nullptr, {}});
   it->self = it;
-  it->source = event_new(base_.get(), -1, once ? 0 : EV_PERSIST, &EventLoop::fire, &*it);
+  it->timer_event = event_new(base_.get(), -1, once ? 0 : EV_PERSIST, &EventLoop::on_timer, &*it);
   const timeval tv{delay / kSecond, static_cast<suseconds_t>(delay % kSecond)};
-  event_add(it->source, &tv);
+  event_add(it->timer_event, &tv);
 }
 
-void EventLoop::fire(evutil_socket_t, short, void* timer) {
+void EventLoop::on_timer(evutil_socket_t, short, void* timer) {
   auto* t = static_cast<Timer*>(timer);
-  if (!t->once) return t->what();
-  const auto what = std::move(t->what);
-  event_free(t->source);
+  if (!t->once) return t->callback();
+  const auto callback = std::move(t->callback);
+  event_free(t->timer_event);
   t->loop->timers_.erase(t->self);
-  what();
+  callback();
 }
 
 void EventLoop::run() { event_base_dispatch(base_.get()); }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -16,8 +16,8 @@
 
   Micros now() const override;
   Micros time_of_day() const override;
-  void later(Micros delay, std::function<void()> what) override;
-  void every(Micros period, std::function<void()> what) override;
+  void call_later(Micros delay, std::function<void()> callback) override;
+  void call_every(Micros period, std::function<void()> callback) override;
 
   /// Until nothing is left to wait for, or stop().
   void run();
@@ -27,18 +27,18 @@
  private:
   struct Timer {
     EventLoop* loop;
-    std::function<void()> what;
+    std::function<void()> callback;
     bool once;
-    event* source = nullptr;
+    event* timer_event = nullptr;
     std::list<Timer>::iterator self;
   };
-  struct Free {
+  struct Deleter {
     void operator()(event_base* b) const { event_base_free(b); }
   };
-  void add(Micros delay, bool once, std::function<void()> what);
-  static void fire(evutil_socket_t, short, void* timer);
+  void add_timer(Micros delay, bool once, std::function<void()> callback);
+  static void on_timer(evutil_socket_t, short, void* timer);
 
-  std::unique_ptr<event_base, Free> base_;
+  std::unique_ptr<event_base, Deleter> base_;
   std::list<Timer> timers_;
 };
 
--- a/src/net/exchange.h
+++ b/src/net/exchange.h
@@ -29,7 +29,9 @@
   void answer(int status, const std::string& body, int retry_after_s) {
     send({status, body, retry_after_s, {}});
   }
-  void refuse_method(const char* allowed) { send({405, R"({"error":"wrong method"})", 0, allowed}); }
+  void respond_method_not_allowed(const char* allowed) {
+    send({405, R"({"error":"wrong method"})", 0, allowed});
+  }
 
  protected:
   struct Answer {
@@ -43,7 +45,7 @@
 using ExchangePtr = std::shared_ptr<Exchange>;
 
 /// status 0: no answer in time, or no connection: the request may have been executed, now or later.
-using Answered = std::function<void(int status, const std::string& body)>;
+using ResponseCallback = std::function<void(int status, const std::string& body)>;
 
 /// Sends requests somewhere.
 class Requester {
@@ -55,7 +57,7 @@
 
   /// `done` is called exactly once, at the latest when `deadline` (from now) has passed.
   virtual void request(Method method, const wire::Endpoint& to, const std::string& path,
-                       const std::string& body, Micros deadline, Answered done) = 0;
+                       const std::string& body, Micros deadline, ResponseCallback done) = 0;
 };
 
 }  // namespace aspenwick::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -9,7 +9,7 @@
 namespace aspenwick::net {
 namespace {
 
-std::string read_all(evbuffer* b) {
+std::string read_buffer(evbuffer* b) {
   std::string s(b ? evbuffer_get_length(b) : 0, '\0');
   if (!s.empty()) evbuffer_copyout(b, s.data(), s.size());
   return s;
@@ -18,18 +18,18 @@
 timeval to_timeval(Micros t) { return {t / kSecond, static_cast<suseconds_t>(t % kSecond)}; }
 
 // Bodies over the protocol's limit get a 400, so that many bytes are read at most.
-constexpr ev_ssize_t kReadLimit = 4 * 1024 * 1024;
+constexpr ev_ssize_t kMaxReadBytes = 4 * 1024 * 1024;
 
-evhttp_cmd_type command(Method m) {
+evhttp_cmd_type to_evhttp_command(Method m) {
   return m == Method::post ? EVHTTP_REQ_POST : m == Method::del ? EVHTTP_REQ_DELETE : EVHTTP_REQ_GET;
 }
 
 }  // namespace
 
 /// A request that came to the server; it tells the server when it is answered.
-class Server::Asked : public Exchange {
+class Server::IncomingRequest : public Exchange {
  public:
-  Asked(evhttp_request* request, Server* server) : request_(request), server_(server) {}
+  IncomingRequest(evhttp_request* request, Server* server) : request_(request), server_(server) {}
   Method method() const override {
     switch (evhttp_request_get_command(request_)) {
       case EVHTTP_REQ_GET:
@@ -46,7 +46,7 @@
     const char* p = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(request_));
     return p ? p : "";
   }
-  std::string body() const override { return read_all(evhttp_request_get_input_buffer(request_)); }
+  std::string body() const override { return read_buffer(evhttp_request_get_input_buffer(request_)); }
 
  protected:
   void send(const Answer& a) override {
@@ -57,8 +57,9 @@
       evhttp_add_header(headers, "Retry-After", std::to_string(a.retry_after_s).c_str());
     // null: the connection is gone, and nobody hears us.
     if (const auto* connection = evhttp_request_get_connection(request_)) {
-      if (server_->open_.ask_to_close(connection)) evhttp_add_header(headers, "Connection", "close");
-      server_->open_.answered(connection);
+      if (server_->connections_.should_close_on_response(connection))
+        evhttp_add_header(headers, "Connection", "close");
+      server_->connections_.on_response(connection);
     }
     evbuffer* out = evhttp_request_get_output_buffer(request_);
     evbuffer_add(out, a.body.data(), a.body.size());
@@ -72,32 +73,32 @@
 
 Server::Server(event_base* base, const wire::Endpoint& listen, Limits limits, Handler handler)
     : limits_(std::move(limits)),
-      open_(limits_.connections),
+      connections_(limits_.max_connections),
       handler_(std::move(handler)),
       http_(evhttp_new(base)) {
   evhttp_set_allowed_methods(http_.get(), EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                                               EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS |
                                               EVHTTP_REQ_PATCH);
-  evhttp_set_max_body_size(http_.get(), kReadLimit);
+  evhttp_set_max_body_size(http_.get(), kMaxReadBytes);
   evhttp_set_max_headers_size(http_.get(), 16 * 1024);
-  evhttp_set_timeout(http_.get(), static_cast<int>(limits_.idle / kSecond));
+  evhttp_set_timeout(http_.get(), static_cast<int>(limits_.idle_timeout / kSecond));
   evhttp_set_gencb(
-      http_.get(), [](evhttp_request* r, void* self) { static_cast<Server*>(self)->asked(r); }, this);
+      http_.get(), [](evhttp_request* r, void* self) { static_cast<Server*>(self)->on_request(r); }, this);
   if (evhttp_bind_socket(http_.get(), listen.host.c_str(), listen.port) != 0)
-    throw std::runtime_error("cannot listen on " + listen.text());
+    throw std::runtime_error("cannot listen on " + listen.to_string());
 }
 
 Server::~Server() = default;
 
-void Server::asked(evhttp_request* r) {
-  auto x = std::make_shared<Asked>(r, this);
+void Server::on_request(evhttp_request* r) {
+  auto x = std::make_shared<IncomingRequest>(r, this);
   evhttp_connection* connection = evhttp_request_get_connection(r);
-  open_.used(connection,
-             limits_.from_machine(x->path()) ? Connections::Owner::machine : Connections::Owner::other);
+  connections_.on_request(connection, limits_.is_worker_path(x->path()) ? ConnectionTable::ClientKind::worker
+                                                                        : ConnectionTable::ClientKind::other);
   evhttp_connection_set_closecb(
-      connection, [](evhttp_connection* c, void* self) { static_cast<Server*>(self)->open_.closed(c); },
-      this);
-  for (const void* idle : open_.to_close())
+      connection,
+      [](evhttp_connection* c, void* self) { static_cast<Server*>(self)->connections_.on_close(c); }, this);
+  for (const void* idle : connections_.idle_to_close())
     evhttp_connection_free(static_cast<evhttp_connection*>(const_cast<void*>(idle)));
   handler_(x);
 }
@@ -107,7 +108,7 @@
   Pool* pool;
   Method method;
   std::string path, body;
-  Answered done;
+  ResponseCallback done;
   evhttp_connection* connection = nullptr;
   event* timer = nullptr;
 };
@@ -115,12 +116,12 @@
 struct Client::Pool {
   wire::Endpoint to;
   std::vector<std::list<Idle>::iterator> idle;
-  std::size_t open = 0;
+  std::size_t open_count = 0;
   std::deque<Call*> queue;
 };
 
-Client::Client(event_base* base, std::size_t per_endpoint, std::size_t in_all)
-    : base_(base), per_endpoint_(per_endpoint), in_all_(in_all) {}
+Client::Client(event_base* base, std::size_t max_per_endpoint, std::size_t max_total)
+    : base_(base), max_per_endpoint_(max_per_endpoint), max_total_(max_total) {}
 
 Client::~Client() {
   for (Call* c : calls_) {
@@ -132,17 +133,18 @@
 }
 
 Client::Pool& Client::pool(const wire::Endpoint& to) {
-  auto& p = pools_[to.text()];
+  auto& p = pools_[to.to_string()];
   if (!p) p = std::make_unique<Pool>(Pool{to, {}, 0, {}});
   return *p;
 }
 
 bool Client::may_start(const Pool& p) const {
-  return !p.idle.empty() || (p.open < per_endpoint_ && (open_ < in_all_ || !idle_.empty()));
+  return !p.idle.empty() ||
+         (p.open_count < max_per_endpoint_ && (open_count_ < max_total_ || !idle_.empty()));
 }
 
 void Client::request(Method method, const wire::Endpoint& to, const std::string& path,
-                     const std::string& body, Micros deadline, Answered done) {
+                     const std::string& body, Micros deadline, ResponseCallback done) {
   Pool& p = pool(to);
   auto* call = new Call{this, &p, method, path, body, std::move(done)};
   calls_.insert(call);
@@ -154,8 +156,8 @@
           // The connection may still deliver: it is given up, and its late answer with it.
           evhttp_connection_free(c->connection);
           c->connection = nullptr;
-          --c->pool->open;
-          --c->client->open_;
+          --c->pool->open_count;
+          --c->client->open_count_;
         } else {
           std::erase(c->pool->queue, c);
         }
@@ -166,7 +168,7 @@
   evtimer_add(call->timer, &tv);
   if (may_start(p)) return start(call);
   p.queue.push_back(call);
-  if (p.open < per_endpoint_) starved_.push_back(&p);
+  if (p.open_count < max_per_endpoint_) pools_awaiting_capacity_.push_back(&p);
 }
 
 void Client::start(Call* call) {
@@ -176,21 +178,21 @@
     idle_.erase(p.idle.back());
     p.idle.pop_back();
   } else {
-    if (open_ >= in_all_) {  // may_start: some connection is idle
+    if (open_count_ >= max_total_) {  // may_start: some connection is idle
       const Idle longest = idle_.front();
       std::erase(longest.pool->idle, idle_.begin());
       idle_.pop_front();
-      close(longest.connection, *longest.pool);
+      close_connection(longest.connection, *longest.pool);
     }
     call->connection = evhttp_connection_base_new(base_, nullptr, p.to.host.c_str(), p.to.port);
     evhttp_connection_set_timeout(call->connection, 120);
-    ++p.open, ++open_;
+    ++p.open_count, ++open_count_;
   }
   evhttp_request* r = evhttp_request_new(
       [](evhttp_request* req, void* arg) {
         auto* c = static_cast<Call*>(arg);
         const int status = req ? evhttp_request_get_response_code(req) : 0;
-        std::string body = status ? read_all(evhttp_request_get_input_buffer(req)) : std::string();
+        std::string body = status ? read_buffer(evhttp_request_get_input_buffer(req)) : std::string();
         bool keep = status != 0;
         if (keep) {
           const char* h = evhttp_find_header(evhttp_request_get_input_headers(req), "Connection");
@@ -200,7 +202,7 @@
       },
       call);
   evkeyvalq* headers = evhttp_request_get_output_headers(r);
-  evhttp_add_header(headers, "Host", p.to.text().c_str());
+  evhttp_add_header(headers, "Host", p.to.to_string().c_str());
   evhttp_add_header(headers, "Connection", "keep-alive");
   if (!call->body.empty()) {
     evhttp_add_header(headers, "Content-Type", "application/json");
@@ -208,11 +210,11 @@
   } else if (call->method == Method::post) {
     evhttp_add_header(headers, "Content-Length", "0");
   }
-  if (evhttp_make_request(call->connection, r, command(call->method), call->path.c_str()) != 0) {
+  if (evhttp_make_request(call->connection, r, to_evhttp_command(call->method), call->path.c_str()) != 0) {
     // The request was freed; no callback will come.
     evhttp_connection* c = call->connection;
     call->connection = nullptr;
-    --p.open, --open_;
+    --p.open_count, --open_count_;
     evhttp_connection_free(c);
     const timeval now{0, 0};
     evtimer_add(call->timer, &now);
@@ -220,15 +222,15 @@
 }
 
 /// Freed from the loop: we may be inside one of its callbacks.
-void Client::close(evhttp_connection* connection, Pool& p) {
-  --p.open, --open_;
+void Client::close_connection(evhttp_connection* connection, Pool& p) {
+  --p.open_count, --open_count_;
   event_base_once(
       base_, -1, EV_TIMEOUT,
       [](evutil_socket_t, short, void* c) { evhttp_connection_free(static_cast<evhttp_connection*>(c)); },
       connection, nullptr);
 }
 
-void Client::start_waiting(Pool& p) {
+void Client::start_queued(Pool& p) {
   if (p.queue.empty() || !may_start(p)) return;
   Call* next = p.queue.front();
   p.queue.pop_front();
@@ -238,20 +240,20 @@
 void Client::finish(Call* call, int status, const std::string& body, bool reusable) {
   Pool& p = *call->pool;
   if (call->connection) {
-    if (reusable && p.idle.size() < per_endpoint_)
+    if (reusable && p.idle.size() < max_per_endpoint_)
       p.idle.push_back(idle_.insert(idle_.end(), {&p, call->connection}));
     else
-      close(call->connection, p);
+      close_connection(call->connection, p);
   }
   event_free(call->timer);
   calls_.erase(call);
-  Answered done = std::move(call->done);
+  ResponseCallback done = std::move(call->done);
   delete call;
-  start_waiting(p);
-  while (!starved_.empty() && (open_ < in_all_ || !idle_.empty())) {
-    Pool* next = starved_.front();
-    starved_.pop_front();
-    start_waiting(*next);
+  start_queued(p);
+  while (!pools_awaiting_capacity_.empty() && (open_count_ < max_total_ || !idle_.empty())) {
+    Pool* next = pools_awaiting_capacity_.front();
+    pools_awaiting_capacity_.pop_front();
+    start_queued(*next);
   }
   done(status, body);
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -19,9 +19,9 @@
   /// Microseconds since 1970 (UTC); may step.
   virtual Micros time_of_day() const = 0;
   /// Calls `what` once, not before `delay` (0 or more) has passed and never from within this call.
-  virtual void later(Micros delay, std::function<void()> what) = 0;
+  virtual void call_later(Micros delay, std::function<void()> callback) = 0;
   /// Calls `what` each `period` (over 0), for as long as the loop lives.
-  virtual void every(Micros period, std::function<void()> what) = 0;
+  virtual void call_every(Micros period, std::function<void()> callback) = 0;
 };
 
 }  // namespace aspenwick::net
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -357,7 +357,7 @@
 /// How many tasks of the job `room` holds.
 std::int64_t Placement::slots(const Job& j, const Machine& m, Resources room) const {
   if (!fits(j, m, room)) return 0;
-  return j.spec->need.times_in(room, j.spec->tasks);
+  return j.spec->need.copies_that_fit(room, j.spec->tasks);
 }
 
 /// The zones in which a gang that needs one could start, given the room that `room_of` tells of each machine:
@@ -422,7 +422,7 @@
 /// A gang that saves, runs whole on ordinary machines and has some time to go: what is left costs less on
 /// spot machines than fetching the image again and the repeated start.
 bool Placement::worth_spot(const Job& j, Micros now) const {
-  if (j.spec->shape != Shape::gang || !j.spec->spot || j.spec->checkpoint_every == 0 ||
+  if (j.spec->shape != Shape::gang || !j.spec->spot || j.spec->checkpoint_interval == 0 ||
       j.spec->need.gpus == 0)
     return false;
   if (j.cancelled || j.finished || j.committing || j.active.size() != j.spec->tasks) return false;
@@ -440,7 +440,7 @@
   // Not if the move may cost what is expected of it.
   for (const auto& o : platform_.objectives)
     if (o.kind == "finished" && o.job_class == j.spec->job_class) {
-      const Micros spare = j.ready + o.within - now - left;
+      const Micros spare = j.ready + o.time_limit - now - left;
       if (spare > 0 && spare < left / 2 + kMoveTime * 2) return false;
     }
   return left > kWorthMoving;
@@ -456,7 +456,7 @@
     spdlog::info("gang {} goes on on spot machines", j->id);
     j->moved = now;
     j->to_spot_until = now + kMoveTime;
-    view_.stop_gang(*j, j->spec->save_time);
+    view_.stop_gang(*j, j->spec->checkpoint_duration);
     return;
   }
 }
@@ -506,7 +506,7 @@
     m.held_until = now + kHoldRoom;
     for (auto& [key, p] : m.tasks) {
       if (slots(j, m, m.free) >= c.slots || p.halting || !below(p)) continue;
-      const Micros grace = p.job->spec->checkpoint_every > 0 ? p.job->spec->save_time : 0;
+      const Micros grace = p.job->spec->checkpoint_interval > 0 ? p.job->spec->checkpoint_duration : 0;
       if (p.job->spec->shape == Shape::gang)
         view_.stop_gang(*p.job, grace);
       else
@@ -576,7 +576,7 @@
   best->held_until = now + kHoldRoom;
   for (Placed* p : best_victims) {
     spdlog::debug("preempt {}/{} on {} for {}", p->job_id, p->index, best->record.id, j.id);
-    const Micros grace = p->job->spec->checkpoint_every > 0 ? p->job->spec->save_time : 0;
+    const Micros grace = p->job->spec->checkpoint_interval > 0 ? p->job->spec->checkpoint_duration : 0;
     if (p->job->spec->shape == Shape::gang)
       view_.stop_gang(*p->job, grace);
     else
--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -27,13 +27,13 @@
 void check_cancel_deadline(const wire::PlatformSettings& platform) {
   // An unreachable owner renews its workers' leases until its own lease expires, and the workers go on for
   // one more worker lease.
-  if (platform.cancel >= kOwnerLeaseDuration + platform.worker_lease + kCancelDeadlineMargin) return;
+  if (platform.cancel_deadline >= kOwnerLeaseDuration + platform.worker_lease + kCancelDeadlineMargin) return;
   throw wire::Malformed("params.workers.cancel_s: must be at least lease_s plus " +
                         std::to_string((kOwnerLeaseDuration + kCancelDeadlineMargin) / kSecond) + " s");
 }
 
 Ownership::Ownership(const wire::PlatformSettings& platform)
-    : platform_(platform), own_node_(platform.name), nodes_(platform.nodes()) {
+    : platform_(platform), own_node_(platform.name), nodes_(platform.node_names()) {
   home_share_ = static_cast<int>(std::find(nodes_.begin(), nodes_.end(), own_node_) - nodes_.begin());
 }
 
@@ -91,7 +91,7 @@
 Micros Ownership::max_unconfirmed_renewal() const {
   // Owner lease + this + worker lease stay below the time allowed for a cancellation.
   return std::clamp<Micros>(
-      platform_.cancel - kOwnerLeaseDuration - platform_.worker_lease - kCancelDeadlineMargin, 0,
+      platform_.cancel_deadline - kOwnerLeaseDuration - platform_.worker_lease - kCancelDeadlineMargin, 0,
       kMaxUnconfirmedRenewal);
 }
 
--- a/src/share/peer_link.cpp
+++ b/src/share/peer_link.cpp
@@ -38,8 +38,8 @@
   listener_ =
       evconnlistener_new_bind(base, &PeerLink::on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 64,
                               reinterpret_cast<const sockaddr*>(&a), sizeof a);
-  if (!listener_) throw std::runtime_error("cannot listen on " + settings.peer_listen.text());
-  for (const auto& s : settings.siblings) peer_endpoints_[s.name] = s.peer;
+  if (!listener_) throw std::runtime_error("cannot listen on " + settings.peer_listen.to_string());
+  for (const auto& s : settings.siblings) peer_endpoints_[s.name] = s.peer_endpoint;
 }
 
 PeerLink::~PeerLink() { evconnlistener_free(listener_); }
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -110,8 +110,8 @@
   j->start_within = kDefaultStartWithin;
   for (const auto& o : platform_.objectives)
     if (o.job_class == record.spec->job_class) {
-      if (o.kind == "wait") j->start_within = o.within;
-      if (o.kind == "finished") j->finish_within = o.within;
+      if (o.kind == "wait") j->start_within = o.time_limit;
+      if (o.kind == "finished") j->finish_within = o.time_limit;
     }
   j->version = record.version;
   j->submitted = now - std::max<Micros>(0, time_of_day - record.submitted);
@@ -222,11 +222,11 @@
     if (m.drain_until > 0 && now >= m.drain_until) m.drain_until = 0, m.drain_to = -2, view_.gained();
     if (m.taken_at)  // tasks with checkpoints save their state before the cloud takes the machine back
       for (auto& [key, p] : m.tasks)
-        if (p.job && !p.halting && p.job->spec->checkpoint_every > 0 && p.phase != Phase::assigned) {
+        if (p.job && !p.halting && p.job->spec->checkpoint_interval > 0 && p.phase != Phase::assigned) {
           if (p.job->spec->shape == Shape::gang)
-            view_.stop_gang(*p.job, p.job->spec->save_time);
+            view_.stop_gang(*p.job, p.job->spec->checkpoint_duration);
           else
-            view_.halt(p, p.job->spec->save_time);
+            view_.halt(p, p.job->spec->checkpoint_duration);
         }
   }
   if (owner_refusal != StartRefusal::none) {
@@ -275,7 +275,7 @@
   m.drain_to = to;
   m.drain_until = now + kDrainTimeout;
   for (auto& [key, p] : m.tasks) {
-    const Micros grace = p.job->spec->checkpoint_every > 0 ? p.job->spec->save_time : 0;
+    const Micros grace = p.job->spec->checkpoint_interval > 0 ? p.job->spec->checkpoint_duration : 0;
     if (p.job->spec->shape == Shape::gang)
       view_.stop_gang(*p.job, grace);
     else
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -144,7 +144,7 @@
     doubt_delivery(m, now, "a push got no answer");
   else
     ++m.bump;
-  const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report);
+  const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report_interval);
   m.push_again = now + std::min(longest, kPushRetryDelay << std::min(lost_before, kMaxPushRetryDoublings));
   for (auto& [key, p] : m.tasks)
     if (p.phase == Phase::sent && p.by_push) p.fence = current_token(m);
--- a/src/share/share_controller_progress.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -77,7 +77,7 @@
   // results that only it records.
   const std::uint32_t chunk = unit / DoneSet::kUnitsInChunk;
   std::string text = j.done.chunk_text(chunk);
-  const bool as_chunk = text.size() + 2 <= platform_.value_room();
+  const bool as_chunk = text.size() + 2 <= platform_.value_size_limit();
   const std::uint32_t row = as_chunk ? chunk : kFirstUnitRow + unit;
   if (j.in_flight.contains(row)) return;
   if (!as_chunk) text = j.done.unit_text(unit);
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -8,7 +8,7 @@
 
 namespace aspenwick::share {
 
-using wire::Cause;
+using wire::ExitCause;
 using wire::Shape;
 using wire::TaskReport;
 using wire::TaskState;
@@ -83,9 +83,10 @@
   m.up = true;
   m.last_report = now;
   m.record.address = r.address;
-  if (r.notice && !m.taken_at) {
-    m.taken_at = now + *r.notice;
-    spdlog::info("machine {}: the cloud takes it back in {:.1f} s", m.record.id, to_seconds(*r.notice));
+  if (r.reclaim_notice && !m.taken_at) {
+    m.taken_at = now + *r.reclaim_notice;
+    spdlog::info("machine {}: the cloud takes it back in {:.1f} s", m.record.id,
+                 to_seconds(*r.reclaim_notice));
   }
   m.forgets.clear();
   const auto results_before = std::exchange(m.results, {});
@@ -155,7 +156,7 @@
   auto it = view_.jobs.find(t.job);
   Job* j = it == view_.jobs.end() ? nullptr : it->second.get();
   const bool tracked = p != m.tasks.end() && p->second.attempt == t.attempt;
-  if (t.cause == Cause::done && j && t.index < j->spec->tasks) {
+  if (t.cause == ExitCause::done && j && t.index < j->spec->tasks) {
     const bool newly_done = mark_done(*j, t.index);
     if (tracked && (newly_done || j->spec->shape == Shape::gang)) on_task_succeeded(*j, m, p->second, now);
     // Dropping the last attempt of a finished job removes the job from the view, which invalidates `j`.
@@ -177,10 +178,10 @@
     return;
   }
   if (tracked) {
-    if (t.cause == Cause::error && j) on_task_failed(*j, m, now);
-    if (t.cause == Cause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
-    if (t.cause == Cause::gang_incomplete && j) j->incomplete = t.attempt;
-    if (t.cause == Cause::unknown && j) j->not_before = now + 2 * kSecond;
+    if (t.cause == ExitCause::error && j) on_task_failed(*j, m, now);
+    if (t.cause == ExitCause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
+    if (t.cause == ExitCause::gang_incomplete && j) j->incomplete = t.attempt;
+    if (t.cause == ExitCause::unknown && j) j->not_before = now + 2 * kSecond;
     spdlog::debug("exited {}/{} try {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
                   static_cast<int>(t.cause));
     view_.drop(m, p, now, Freed::exited);
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -9,7 +9,7 @@
 
 namespace aspenwick::share {
 
-using wire::Cause;
+using wire::ExitCause;
 using wire::TaskReport;
 
 /// Returns whether the worker has to keep the result: it is in no known progress row, and its job is not
@@ -43,11 +43,11 @@
   const TaskKey key{t.job, t.index};
   const auto known = before.find(key);
   const Micros since = known == before.end() ? now : known->second.since;
-  if (t.cause == Cause::done && result_copy_needed(key, since)) {
+  if (t.cause == ExitCause::done && result_copy_needed(key, since)) {
     m.results[key] = {t.attempt, since};
     return;
   }
-  if (t.cause == Cause::done && !view_.jobs.contains(t.job) && lookup_job_(t.job) == nullptr) {
+  if (t.cause == ExitCause::done && !view_.jobs.contains(t.job) && lookup_job_(t.job) == nullptr) {
     spdlog::info("machine {}: dropping the result of {}/{}: no such job", m.record.id, t.job, t.index);
     ++attribution_counts_.dropped_results;
   }
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -18,11 +18,11 @@
 enum class Urgency : std::uint8_t { now, accept, user, read, background };
 
 struct TokenBucket {
-  double rate = 1, burst = 1, level = 1;
-  Micros last = 0;
+  double rate = 1, capacity = 1, tokens = 1;
+  Micros last_refill = 0;
   void refill(Micros now) {
-    level = std::min(burst, level + rate * to_seconds(now - last));
-    last = now;
+    tokens = std::min(capacity, tokens + rate * to_seconds(now - last_refill));
+    last_refill = now;
   }
 };
 
@@ -33,21 +33,21 @@
   Client& operator=(const Client&) = delete;
 
   /// status as HTTP; 0: unknown whether executed. `revision`: of the commit, if 200.
-  using Committed = std::function<void(int status, std::uint64_t revision)>;
+  using CommitCallback = std::function<void(int status, std::uint64_t revision)>;
   void commit(std::vector<wire::Guard> guards, std::vector<wire::Write> writes, Urgency urgency,
-              Committed done);
-  using Got = std::function<void(int status, const wire::Row& row)>;
-  void get(const std::string& key, Urgency urgency, Got done);
-  using Listed = std::function<void(bool ok, std::vector<wire::Row> rows, std::uint64_t revision)>;
-  void list(const std::string& prefix, Listed done);
+              CommitCallback done);
+  using GetCallback = std::function<void(int status, const wire::Row& row)>;
+  void get(const std::string& key, Urgency urgency, GetCallback done);
+  using ListCallback = std::function<void(bool ok, std::vector<wire::Row> rows, std::uint64_t revision)>;
+  void list(const std::string& prefix, ListCallback done);
   /// All that changed under the prefix since a revision, up to a moment after the call: a fresh read of it.
-  void changes(const std::string& prefix, std::uint64_t since, Listed done);
+  void changes(const std::string& prefix, std::uint64_t since, ListCallback done);
   /// All changes up to here were told by the watch.
-  std::uint64_t watched() const { return watch_revision_; }
+  std::uint64_t watched_revision() const { return watch_revision_; }
   /// All that was changed before this moment was told by the watch.
   Micros watched_as_of() const { return watched_as_of_; }
 
-  void grant(Micros life, std::function<void(int status, std::uint64_t lease)> done);
+  void grant(Micros duration, std::function<void(int status, std::uint64_t lease)> done);
   void renew(std::uint64_t lease, std::function<void(int status)> done);
   void revoke(std::uint64_t lease, std::function<void(int status)> done);
 
@@ -55,65 +55,65 @@
   struct Watcher {
     /// A list of many pages is no snapshot: it has all that was there at revision `as_of`, of its first page,
     /// and is there still; of what came later, only some.
-    std::function<void(std::vector<wire::Row> all, std::uint64_t as_of)> reset;
-    std::function<void(std::vector<wire::Row> changes)> changed;
+    std::function<void(std::vector<wire::Row> all, std::uint64_t as_of)> on_reload;
+    std::function<void(std::vector<wire::Row> changes)> on_changes;
     /// What is known is as of a moment ago, whether or not there were changes.
-    std::function<void()> caught_up;
+    std::function<void()> on_caught_up;
   };
   void watch(const std::string& prefix, Watcher watcher);
 
   /// Told how long each answered call took.
-  void observe(std::function<void(Micros)> observer) { observer_ = std::move(observer); }
+  void set_latency_observer(std::function<void(Micros)> observer) { latency_observer_ = std::move(observer); }
 
   /// Asks now for what the watch has yet to tell, beside it: told as the watch's changes are. At most once a
   /// second, and not while all keys are read again.
   void catch_up();
-  std::uint64_t catch_ups() const { return catch_ups_; }
+  std::uint64_t catch_up_count() const { return catch_up_count_; }
   /// Answers that were older than what was known when they were asked for; left out.
-  std::uint64_t old_answers() const { return old_answers_; }
+  std::uint64_t stale_responses() const { return stale_responses_; }
 
   /// The service answered lately.
-  bool ok(Micros now) const;
+  bool reachable(Micros now) const;
   /// So much waits already that one more would be late.
-  bool crowded() const { return queue(Urgency::accept).size() > 30; }
-  std::size_t txn_ops() const { return txn_ops_; }
-  bool writes_spare() const;
+  bool overloaded() const { return queue(Urgency::accept).size() > 30; }
+  std::size_t max_txn_ops() const { return max_txn_ops_; }
+  bool has_spare_writes() const;
 
  private:
   struct Request {
     net::Method method;
     std::string path, body;
     int writes;
-    Micros deadline, queued;
-    net::Answered done;
+    Micros deadline, queued_at;
+    net::ResponseCallback done;
   };
   void submit(Urgency urgency, Request request);
   void send(Request request);
-  void pump();
-  void follow();
-  bool older_than_asked(const wire::Page& page, std::uint64_t since);
-  bool tell_changes(wire::Page page, std::uint64_t since, Micros sent);
-  void read_all();
-  void list_page(const std::string& prefix, const std::string& after, std::vector<wire::Row> sofar,
-                 std::uint64_t revision, Listed done);
+  void dispatch_queued();
+  void poll_changes();
+  bool is_stale(const wire::RowPage& page, std::uint64_t since);
+  bool apply_changes(wire::RowPage page, std::uint64_t since, Micros sent);
+  void reload_all();
+  void list_page(const std::string& prefix, const std::string& after, std::vector<wire::Row> rows_so_far,
+                 std::uint64_t revision, ListCallback done);
 
   net::Loop& loop_;
   net::Requester& http_;
-  wire::Endpoint state_;
-  TokenBucket requests_, writes_;
-  std::size_t txn_ops_;
+  wire::Endpoint endpoint_;
+  TokenBucket request_bucket_, write_bucket_;
+  std::size_t max_txn_ops_;
   const std::deque<Request>& queue(Urgency u) const { return queues_[static_cast<std::size_t>(u)]; }
   std::array<std::deque<Request>, 5> queues_;
-  bool pump_soon_ = false;
-  Micros last_ok_ = 0, last_bad_ = 0, slow_until_ = 0;
-  std::function<void(Micros)> observer_;
+  bool dispatch_scheduled_ = false;
+  Micros last_success_ = 0, last_failure_ = 0, throttled_until_ = 0;
+  std::function<void(Micros)> latency_observer_;
   std::string watch_prefix_;
   Watcher watcher_;
   std::uint64_t watch_revision_ = 0;
   Micros watched_as_of_ = 0;
-  bool reading_all_ = false;
-  Micros next_catch_up_ = 0;
-  std::uint64_t catch_ups_ = 0, old_answers_ = 0;
+  bool reloading_ = false;
+  Micros next_catch_up_at_ = 0;
+  std::uint64_t catch_up_count_ = 0, stale_responses_ = 0;
 };
 
 }  // namespace aspenwick::store
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -17,11 +17,11 @@
     if (!v.is_string()) fail("not a string", key);
     return v.get<std::string>();
   }
-  double number(const char* key, double least = 0) const {
+  double number(const char* key, double minimum = 0) const {
     const Json& v = at(key);
     if (!v.is_number()) fail("not a number", key);
     const double d = v.get<double>();
-    if (!std::isfinite(d) || d < least || d > 1e9) fail("out of range", key);
+    if (!std::isfinite(d) || d < minimum || d > 1e9) fail("out of range", key);
     return d;
   }
   Micros seconds(const char* key) const { return from_seconds(number(key)); }
@@ -33,17 +33,17 @@
       fail("not an address", key);
     }
   }
-  Reader object(const char* key) const { return {at(key), full(key)}; }
+  Reader object(const char* key) const { return {at(key), full_path(key)}; }
   const Json& list(const char* key) const {
     const Json& v = at(key);
     if (!v.is_array()) fail("not a list", key);
     return v;
   }
-  std::string full(const char* key) const { return path_.empty() ? key : path_ + "." + key; }
+  std::string full_path(const char* key) const { return path_.empty() ? key : path_ + "." + key; }
 
  private:
   [[noreturn]] void fail(const char* what, const char* key) const {
-    throw Malformed(std::string("settings: ") + what + ": " + full(key));
+    throw Malformed(std::string("settings: ") + what + ": " + full_path(key));
   }
   const Json& at(const char* key) const {
     auto it = j_.find(key);
@@ -67,7 +67,7 @@
   return e;
 }
 
-std::vector<std::string> PlatformSettings::nodes() const {
+std::vector<std::string> PlatformSettings::node_names() const {
   std::vector<std::string> all{name};
   for (const auto& s : siblings) all.push_back(s.name);
   std::sort(all.begin(), all.end());
@@ -97,8 +97,8 @@
     const Reader r(x, "params.teams[]");
     Team t;
     t.name = r.text("name");
-    t.guaranteed = {to_units(r.number("cpus")), to_units(r.number("gpus")), 0};
-    t.limit = {to_units(r.number("cpus_max")), to_units(r.number("gpus_max")), 0};
+    t.guaranteed = {to_millionths(r.number("cpus")), to_millionths(r.number("gpus")), 0};
+    t.limit = {to_millionths(r.number("cpus_max")), to_millionths(r.number("gpus_max")), 0};
     s.teams.push_back(std::move(t));
   }
   std::sort(s.teams.begin(), s.teams.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
@@ -107,38 +107,39 @@
     Objective o;
     o.kind = r.text("kind");
     if (r.has("class")) o.job_class = r.text("class");
-    if (r.has("within_s")) o.within = r.seconds("within_s");
-    if (r.has("share")) o.share = r.number("share");
-    if (r.has("times")) o.times = r.number("times");
+    if (r.has("within_s")) o.time_limit = r.seconds("within_s");
+    if (r.has("share")) o.fraction = r.number("share");
+    if (r.has("times")) o.factor = r.number("times");
     s.objectives.push_back(std::move(o));
   }
   const Reader workers = params.object("workers");
-  s.report = workers.seconds("report_s");
+  s.report_interval = workers.seconds("report_s");
   s.worker_lease = workers.seconds("lease_s");
-  s.gang_wait = workers.seconds("gang_wait_s");
-  s.gang_peer = workers.seconds("gang_peer_s");
-  s.cancel = workers.seconds("cancel_s");
+  s.gang_wait_timeout = workers.seconds("gang_wait_s");
+  s.gang_peer_timeout = workers.seconds("gang_peer_s");
+  s.cancel_deadline = workers.seconds("cancel_s");
   const Reader state = params.object("state");
   s.state_rps = state.number("rps", 1);
   s.state_write_rps = state.number("write_rps", 1);
-  s.value_bytes = static_cast<std::size_t>(state.number("value_kb", 1) * 1024);
-  s.txn_ops = static_cast<std::size_t>(state.number("txn_ops", 2));
+  s.max_value_bytes = static_cast<std::size_t>(state.number("value_kb", 1) * 1024);
+  s.max_txn_ops = static_cast<std::size_t>(state.number("txn_ops", 2));
   if (state.has("next")) {
     // Limits to come, without notice: the smaller of each is kept to from now on. What isn't said stays.
     const Reader next = state.object("next");
     if (next.has("rps")) s.state_rps = std::min(s.state_rps, next.number("rps", 1));
     if (next.has("write_rps")) s.state_write_rps = std::min(s.state_write_rps, next.number("write_rps", 1));
     if (next.has("value_kb"))
-      s.value_bytes = std::min(s.value_bytes, static_cast<std::size_t>(next.number("value_kb", 1) * 1024));
+      s.max_value_bytes =
+          std::min(s.max_value_bytes, static_cast<std::size_t>(next.number("value_kb", 1) * 1024));
     if (next.has("txn_ops"))
-      s.txn_ops = std::min(s.txn_ops, static_cast<std::size_t>(next.number("txn_ops", 2)));
+      s.max_txn_ops = std::min(s.max_txn_ops, static_cast<std::size_t>(next.number("txn_ops", 2)));
   }
   const Reader cloud = params.object("cloud");
   s.cloud_rps = cloud.number("rps", 0.1);
-  s.list_lag = cloud.seconds("list_lag_s");
+  s.cloud_list_lag = cloud.seconds("list_lag_s");
   const Reader limits = params.object("limits");
-  s.sockets = static_cast<int>(limits.number("sockets", 16));
-  s.clock_error = from_seconds(params.number("clock_error_ms") / 1000);
+  s.max_sockets = static_cast<int>(limits.number("sockets", 16));
+  s.max_clock_error = from_seconds(params.number("clock_error_ms") / 1000);
   return s;
 }
 
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -10,7 +10,7 @@
 struct Endpoint {
   std::string host;
   std::uint16_t port = 0;
-  std::string text() const { return host + ":" + std::to_string(port); }
+  std::string to_string() const { return host + ":" + std::to_string(port); }
   bool operator==(const Endpoint&) const = default;
 };
 Endpoint parse_endpoint(const std::string& s);  // throws Malformed
@@ -22,12 +22,12 @@
 };
 struct Objective {
   std::string kind, job_class;
-  Micros within = 0;
-  double share = 0, times = 1;
+  Micros time_limit = 0;
+  double fraction = 0, factor = 1;
 };
 struct Sibling {
   std::string name, zone;
-  Endpoint peer;
+  Endpoint peer_endpoint;
 };
 struct PlatformSettings {
   std::string name, zone;
@@ -36,18 +36,19 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;  // by name
   std::vector<Objective> objectives;
-  Micros report = 0, worker_lease = 0, gang_wait = 0, gang_peer = 0, cancel = 0;
+  Micros report_interval = 0, worker_lease = 0, gang_wait_timeout = 0, gang_peer_timeout = 0,
+         cancel_deadline = 0;
   double state_rps = 0, state_write_rps = 0,
          cloud_rps = 0;  // the state service's: now or to come, the smaller
-  std::size_t value_bytes = 0, txn_ops = 0;
+  std::size_t max_value_bytes = 0, max_txn_ops = 0;
   /// What we let a value take: the service may write JSON with more spaces and escapes than we do.
-  std::size_t value_room() const { return value_bytes - value_bytes / 8; }
-  Micros list_lag = 0;
-  int sockets = 0;
-  Micros clock_error = 0;
+  std::size_t value_size_limit() const { return max_value_bytes - max_value_bytes / 8; }
+  Micros cloud_list_lag = 0;
+  int max_sockets = 0;
+  Micros max_clock_error = 0;
 
   /// All nodes in name order: the home of share n is the n-th of them.
-  std::vector<std::string> nodes() const;
+  std::vector<std::string> node_names() const;
 };
 PlatformSettings parse_settings(const std::string& body);  // throws Malformed naming the field
 
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -7,10 +7,10 @@
 namespace aspenwick::wire {
 namespace {
 
-constexpr std::array kShapes{"array", "group", "service"};
-constexpr std::array kRanks{"low", "normal", "high", "production"};
-constexpr std::array kStatuses{"queued", "running", "done", "withdrawn"};
-constexpr std::size_t kMaxName = 200;
+constexpr std::array kShapeNames{"array", "group", "service"};
+constexpr std::array kRankNames{"low", "normal", "high", "production"};
+constexpr std::array kJobStatusNames{"queued", "running", "done", "withdrawn"};
+constexpr std::size_t kMaxStringLength = 200;
 
 Json parse(const std::string& body) {
   Json j = Json::parse(body, nullptr, false);
@@ -25,16 +25,16 @@
   return *it;
 }
 
-std::string text(const Json& j, const char* name, bool may_be_empty = false) {
+std::string string_field(const Json& j, const char* name, bool may_be_empty = false) {
   const Json& v = field(j, name);
   if (!v.is_string()) throw Malformed(std::string("not a string: ") + name);
   auto s = v.get<std::string>();
-  if ((s.empty() && !may_be_empty) || s.size() > kMaxName)
+  if ((s.empty() && !may_be_empty) || s.size() > kMaxStringLength)
     throw Malformed(std::string("bad length: ") + name);
   return s;
 }
 
-double amount(const Json& j, const char* name) {
+double number_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
   if (!v.is_number()) throw Malformed(std::string("not a number: ") + name);
   double d = v.get<double>();
@@ -43,13 +43,13 @@
   return d;
 }
 
-bool flag(const Json& j, const char* name) {
+bool bool_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
   if (!v.is_boolean()) throw Malformed(std::string("not true or false: ") + name);
   return v.get<bool>();
 }
 
-std::uint64_t count(const Json& j, const char* name) {
+std::uint64_t count_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
   if (!v.is_number_integer() || (!v.is_number_unsigned() && v.get<std::int64_t>() < 0))
     throw Malformed(std::string("not a count: ") + name);
@@ -62,22 +62,23 @@
 }
 
 template <typename Enum, std::size_t N>
-Enum name_of(const Json& j, const char* field_name, const std::array<const char*, N>& names) {
-  const std::string s = text(j, field_name);
+Enum parse_enum(const Json& j, const char* field_name, const std::array<const char*, N>& names) {
+  const std::string s = string_field(j, field_name);
   auto it = std::find(names.begin(), names.end(), s);
   if (it == names.end()) throw Malformed(std::string("unknown value of ") + field_name);
   return static_cast<Enum>(it - names.begin());
 }
 
 template <typename Enum, std::size_t N>
-const char* name(Enum e, const std::array<const char*, N>& names) {
+const char* enum_name(Enum e, const std::array<const char*, N>& names) {
   return names.at(static_cast<std::size_t>(e));
 }
 
 Json order_to_json(const Order& o) {
-  static constexpr std::array kVerbs{"launch", "halt", "forget"};
-  Json j{
-      {"verb", name(o.verb, kVerbs)}, {"piece", o.job + "/" + std::to_string(o.index)}, {"try", o.attempt}};
+  static constexpr std::array kVerbNames{"launch", "halt", "forget"};
+  Json j{{"verb", enum_name(o.verb, kVerbNames)},
+         {"piece", o.job + "/" + std::to_string(o.index)},
+         {"try", o.attempt}};
   if (o.verb == Order::Verb::halt) j["windDownS"] = to_seconds(o.grace);
   return j;
 }
@@ -90,7 +91,7 @@
 
 }  // namespace
 
-std::int64_t to_units(double amount) { return std::llround(amount * 1e6); }
+std::int64_t to_millionths(double amount) { return std::llround(amount * 1e6); }
 
 bool valid_job_id(const std::string& id) {
   return id.size() > 2 && id.size() <= 40 && id.starts_with("j-") &&
@@ -100,27 +101,27 @@
 namespace {
 /// A field that is there twice says two things: whoever reads the job elsewhere, as workers do, may take the
 /// other one.
-Json parse_once_each(const std::string& body) {
+Json parse_unique_fields(const std::string& body) {
   std::set<std::string> names;
-  std::string twice;
+  std::string duplicate;
   Json j = Json::parse(
       body,
       [&](int depth, Json::parse_event_t event, const Json& name) {
         if (event == Json::parse_event_t::key && depth == 1 && !names.insert(name.get<std::string>()).second)
-          twice = name.get<std::string>();
+          duplicate = name.get<std::string>();
         return true;
       },
       false);
   if (j.is_discarded()) throw Malformed("not JSON");
   if (!j.is_object()) throw Malformed("not an object");
-  if (!twice.empty()) throw Malformed("twice: " + twice);
+  if (!duplicate.empty()) throw Malformed("twice: " + duplicate);
   return j;
 }
 }  // namespace
 
 JobSpec parse_job(const std::string& body) {
-  if (body.size() > kMaxBody) throw Malformed("body over 64 KiB");
-  const Json j = parse_once_each(body);
+  if (body.size() > kMaxJobBodyBytes) throw Malformed("body over 64 KiB");
+  const Json j = parse_unique_fields(body);
   try {
     return job_from_json(j);
   } catch (const Malformed& e) {
@@ -132,42 +133,43 @@
 
 JobSpec job_from_json(const Json& j) {
   JobSpec s;
-  s.id = text(j, "nameId");
+  s.id = string_field(j, "nameId");
   if (!valid_job_id(s.id)) throw Malformed("bad nameId");
-  s.job_class = text(j, "jobclass");
-  s.team = text(j, "owner");
-  s.shape = name_of<Shape>(j, "shape", kShapes);
-  s.rank = name_of<Rank>(j, "rank", kRanks);
-  const std::uint64_t tasks = count(j, "pieces");
+  s.job_class = string_field(j, "jobclass");
+  s.team = string_field(j, "owner");
+  s.shape = parse_enum<Shape>(j, "shape", kShapeNames);
+  s.rank = parse_enum<Rank>(j, "rank", kRankNames);
+  const std::uint64_t tasks = count_field(j, "pieces");
   if (tasks == 0 || tasks > kMaxTasks) throw Malformed("out of range: pieces");
   s.tasks = static_cast<std::uint32_t>(tasks);
-  s.need = {to_units(amount(j, "vcpus")), to_units(amount(j, "cards")), to_units(amount(j, "ramGb"))};
-  s.image = text(j, "bundle", true);
-  s.image_gb = amount(j, "sizeGb");
+  s.need = {to_millionths(number_field(j, "vcpus")), to_millionths(number_field(j, "cards")),
+            to_millionths(number_field(j, "ramGb"))};
+  s.image = string_field(j, "bundle", true);
+  s.image_gb = number_field(j, "sizeGb");
   if (const Json* types = optional_field(j, "rigtypes")) {
     if (!types->is_array() || types->size() > 100) throw Malformed("not a list: rigtypes");
     s.types.emplace();
     for (const Json& t : *types) {
-      if (!t.is_string() || t.get_ref<const std::string&>().size() > kMaxName)
+      if (!t.is_string() || t.get_ref<const std::string&>().size() > kMaxStringLength)
         throw Malformed("bad entry: rigtypes");
       s.types->push_back(t.get<std::string>());
     }
   }
-  if (optional_field(j, "site")) s.zone = text(j, "site");
-  s.one_zone = flag(j, "together");
-  s.spread = flag(j, "spread");
-  s.spot = flag(j, "loaner");
-  s.estimate = from_seconds(amount(j, "guessS"));
-  s.checkpoint_every = from_seconds(amount(j, "snapshotEveryS"));
-  s.save_time = from_seconds(amount(j, "snapshotS"));
-  if (optional_field(j, "dueS")) s.deadline = from_seconds(amount(j, "dueS"));
+  if (optional_field(j, "site")) s.zone = string_field(j, "site");
+  s.one_zone = bool_field(j, "together");
+  s.spread = bool_field(j, "spread");
+  s.spot = bool_field(j, "loaner");
+  s.estimate = from_seconds(number_field(j, "guessS"));
+  s.checkpoint_interval = from_seconds(number_field(j, "snapshotEveryS"));
+  s.checkpoint_duration = from_seconds(number_field(j, "snapshotS"));
+  if (optional_field(j, "dueS")) s.deadline = from_seconds(number_field(j, "dueS"));
   if (const Json* needs = optional_field(j, "waitsOn")) {
     if (!needs->is_array()) throw Malformed("not a list: waitsOn");
     std::set<std::string> seen;
     for (const Json& n : *needs) {
       if (!n.is_string() || !valid_job_id(n.get_ref<const std::string&>()))
         throw Malformed("bad entry: waitsOn");
-      if (seen.insert(n.get<std::string>()).second) s.needs.push_back(n.get<std::string>());
+      if (seen.insert(n.get<std::string>()).second) s.dependencies.push_back(n.get<std::string>());
     }
   }
   return s;
@@ -178,8 +180,8 @@
   Json j{{"nameId", s.id},
          {"jobclass", s.job_class},
          {"owner", s.team},
-         {"shape", name(s.shape, kShapes)},
-         {"rank", name(s.rank, kRanks)},
+         {"shape", enum_name(s.shape, kShapeNames)},
+         {"rank", enum_name(s.rank, kRankNames)},
          {"pieces", s.tasks},
          {"vcpus", units(s.need.cpus)},
          {"cards", units(s.need.gpus)},
@@ -190,19 +192,19 @@
          {"spread", s.spread},
          {"loaner", s.spot},
          {"guessS", to_seconds(s.estimate)},
-         {"snapshotEveryS", to_seconds(s.checkpoint_every)},
-         {"snapshotS", to_seconds(s.save_time)}};
+         {"snapshotEveryS", to_seconds(s.checkpoint_interval)},
+         {"snapshotS", to_seconds(s.checkpoint_duration)}};
   if (s.types) j["rigtypes"] = *s.types;
   if (s.zone) j["site"] = *s.zone;
   if (s.deadline) j["dueS"] = to_seconds(*s.deadline);
-  if (!s.needs.empty()) j["waitsOn"] = s.needs;
+  if (!s.dependencies.empty()) j["waitsOn"] = s.dependencies;
   return j;
 }
 
 std::string status_body(const std::string& id, JobStatus status,
-                        std::optional<std::pair<std::uint32_t, std::uint32_t>> done_running) {
-  Json j{{"nameId", id}, {"status", name(status, kStatuses)}};
-  if (done_running) j["done"] = done_running->first, j["running"] = done_running->second;
+                        std::optional<std::pair<std::uint32_t, std::uint32_t>> done_and_running) {
+  Json j{{"nameId", id}, {"status", enum_name(status, kJobStatusNames)}};
+  if (done_and_running) j["done"] = done_and_running->first, j["running"] = done_and_running->second;
   return j.dump();
 }
 
@@ -210,29 +212,32 @@
   return Json{{"error", reason}}.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string report_answer(std::uint64_t token, const std::vector<Order>& orders) {
+std::string report_response(std::uint64_t token, const std::vector<Order>& orders) {
   return Json{{"baton", token}, {"orders", orders_to_json(orders)}}.dump();
 }
 
 std::string redirect_body(const std::string& node) { return Json{{"foreman", node}}.dump(); }
 
-std::string direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
+std::string push_body(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
   return Json{{"baton", token}, {"stint", session}, {"orders", orders_to_json(orders)}}.dump();
 }
 
-std::vector<MachineType> parse_types(const std::string& body) { return types_from_json(parse(body)); }
+std::vector<MachineType> parse_machine_types(const std::string& body) {
+  return machine_types_from_json(parse(body));
+}
 
-std::vector<MachineType> types_from_json(const Json& j) {
+std::vector<MachineType> machine_types_from_json(const Json& j) {
   std::vector<MachineType> out;
   for (const Json& t : field(j, "rigtypes")) {
     MachineType m;
-    m.name = text(t, "sku");
-    m.total = {to_units(amount(t, "vcpus")), to_units(amount(t, "cards")), to_units(amount(t, "ramGb"))};
-    m.price = amount(t, "price");
-    m.spot_price = optional_field(t, "lowPrice") ? amount(t, "lowPrice") : m.price;
-    m.cache_gb = optional_field(t, "localGb") ? amount(t, "localGb") : 0;
-    m.fetch_gb_per_s = optional_field(t, "fetchGbPerS") ? amount(t, "fetchGbPerS") : 1;
-    m.boot = from_seconds(amount(t, "startupS"));
+    m.name = string_field(t, "sku");
+    m.total = {to_millionths(number_field(t, "vcpus")), to_millionths(number_field(t, "cards")),
+               to_millionths(number_field(t, "ramGb"))};
+    m.price = number_field(t, "price");
+    m.spot_price = optional_field(t, "lowPrice") ? number_field(t, "lowPrice") : m.price;
+    m.cache_gb = optional_field(t, "localGb") ? number_field(t, "localGb") : 0;
+    m.fetch_gb_per_s = optional_field(t, "fetchGbPerS") ? number_field(t, "fetchGbPerS") : 1;
+    m.boot_time = from_seconds(number_field(t, "startupS"));
     for (const Json& z : field(t, "sites"))
       if (z.is_string()) m.zones.push_back(z.get<std::string>());
     out.push_back(std::move(m));
@@ -241,7 +246,7 @@
   return out;
 }
 
-Json types_to_json(const std::vector<MachineType>& types) {
+Json machine_types_to_json(const std::vector<MachineType>& types) {
   Json list = Json::array();
   for (const auto& m : types)
     list.push_back({{"sku", m.name},
@@ -252,40 +257,43 @@
                     {"lowPrice", m.spot_price},
                     {"localGb", m.cache_gb},
                     {"fetchGbPerS", m.fetch_gb_per_s},
-                    {"startupS", to_seconds(m.boot)},
+                    {"startupS", to_seconds(m.boot_time)},
                     {"sites", m.zones}});
   return {{"rigtypes", list}};
 }
 
-CloudPage parse_cloud_page(const std::string& body) {
+CloudMachinePage parse_cloud_machine_page(const std::string& body) {
   const Json j = parse(body);
-  CloudPage page;
+  CloudMachinePage page;
   for (const Json& m : field(j, "rigs")) {
     CloudMachine c;
-    c.id = text(m, "nameId");
-    if (optional_field(m, "endpoint")) c.address = text(m, "endpoint", true);
-    c.type = text(m, "rigtype");
-    c.zone = text(m, "site");
-    c.spot = flag(m, "loaner");
-    c.state = text(m, "status");
-    c.age = from_seconds(amount(m, "ageS"));
+    c.id = string_field(m, "nameId");
+    if (optional_field(m, "endpoint")) c.address = string_field(m, "endpoint", true);
+    c.type = string_field(m, "rigtype");
+    c.zone = string_field(m, "site");
+    c.spot = bool_field(m, "loaner");
+    c.state = string_field(m, "status");
+    c.age = from_seconds(number_field(m, "ageS"));
     page.machines.push_back(std::move(c));
   }
-  if (const Json* more = optional_field(j, "hasNext")) page.more = more->is_boolean() && more->get<bool>();
+  if (const Json* more = optional_field(j, "hasNext"))
+    page.has_more = more->is_boolean() && more->get<bool>();
   return page;
 }
 
-std::string rental_body(const std::string& request, const std::string& type, const std::string& zone,
-                        bool spot, int count) {
+std::string rental_request_body(const std::string& request, const std::string& type, const std::string& zone,
+                                bool spot, int count) {
   return Json{{"hire", request}, {"rigtype", type}, {"site", zone}, {"loaner", spot}, {"count", count}}
       .dump();
 }
 
-std::vector<std::string> parse_rented(const std::string& body) {
+std::vector<std::string> parse_rented_ids(const std::string& body) {
   return field(parse(body), "rigs").get<std::vector<std::string>>();
 }
 
-std::string rental_delete_body(const std::vector<std::string>& ids) { return Json{{"rigs", ids}}.dump(); }
+std::string rental_delete_request_body(const std::vector<std::string>& ids) {
+  return Json{{"rigs", ids}}.dump();
+}
 
 std::string commit_body(const std::vector<Guard>& guards, const std::vector<Write>& writes) {
   Json g = Json::array(), w = Json::array();
@@ -302,36 +310,38 @@
   return Json{{"guards", std::move(g)}, {"writes", std::move(w)}}.dump();
 }
 
-Page parse_page(const std::string& body) {
+RowPage parse_row_page(const std::string& body) {
   Json j = parse(body);
-  Page p;
+  RowPage p;
   for (Json& r : j.at("rows"))
-    p.rows.push_back({r.at("path").get<std::string>(), std::move(r.at("value")), count(r, "stamp"), false});
-  if (const Json* more = optional_field(j, "hasNext")) p.more = more->is_boolean() && more->get<bool>();
-  p.revision = count(j, "ledgerRev");
+    p.rows.push_back(
+        {r.at("path").get<std::string>(), std::move(r.at("value")), count_field(r, "stamp"), false});
+  if (const Json* more = optional_field(j, "hasNext")) p.has_more = more->is_boolean() && more->get<bool>();
+  p.revision = count_field(j, "ledgerRev");
   return p;
 }
 
-Page parse_changes(const std::string& body) {
+RowPage parse_changes(const std::string& body) {
   Json j = parse(body);
-  Page p;
-  p.revision = count(j, "ledgerRev");
+  RowPage p;
+  p.revision = count_field(j, "ledgerRev");
   if (!optional_field(j, "news")) return p;
   for (Json& r : j.at("news")) {
     if (r.contains("delete"))
-      p.rows.push_back({r.at("delete").get<std::string>(), nullptr, count(r, "stamp"), true});
+      p.rows.push_back({r.at("delete").get<std::string>(), nullptr, count_field(r, "stamp"), true});
     else
-      p.rows.push_back({r.at("set").get<std::string>(), std::move(r.at("value")), count(r, "stamp"), false});
+      p.rows.push_back(
+          {r.at("set").get<std::string>(), std::move(r.at("value")), count_field(r, "stamp"), false});
   }
   return p;
 }
 
 Row parse_row(const std::string& body) {
   Json j = parse(body);
-  return {text(j, "path"), j.at("value"), count(j, "stamp"), false};
+  return {string_field(j, "path"), j.at("value"), count_field(j, "stamp"), false};
 }
 
-std::uint64_t parse_lease(const std::string& body) { return count(parse(body), "hold"); }
-std::string lease_body(Micros life) { return Json{{"lifeMs", life / kMillisecond}}.dump(); }
+std::uint64_t parse_lease(const std::string& body) { return count_field(parse(body), "hold"); }
+std::string lease_request_body(Micros duration) { return Json{{"lifeMs", duration / kMillisecond}}.dump(); }
 
 }  // namespace aspenwick::wire
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -17,8 +17,8 @@
 
 /// Input that breaks the protocol; what() is a reason fit to be shown.
 struct Malformed : std::runtime_error {
-  explicit Malformed(const std::string& why, std::string of_job = {})
-      : std::runtime_error(why), job(std::move(of_job)) {}
+  explicit Malformed(const std::string& why, std::string job_id = {})
+      : std::runtime_error(why), job(std::move(job_id)) {}
   std::string job;  // of a submission whose id could be read
 };
 
@@ -26,15 +26,15 @@
 struct Resources {
   std::int64_t cpus = 0, gpus = 0, memory = 0;
 
-  bool fits_in(const Resources& room) const {
-    return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
+  bool fits_in(const Resources& available) const {
+    return cpus <= available.cpus && gpus <= available.gpus && memory <= available.memory;
   }
   /// How often it fits into `room`; `most` if nothing is needed, never less than 0.
-  std::int64_t times_in(const Resources& room, std::int64_t most) const {
-    if (cpus > 0) most = std::min(most, room.cpus / cpus);
-    if (gpus > 0) most = std::min(most, room.gpus / gpus);
-    if (memory > 0) most = std::min(most, room.memory / memory);
-    return std::max<std::int64_t>(0, most);
+  std::int64_t copies_that_fit(const Resources& available, std::int64_t limit) const {
+    if (cpus > 0) limit = std::min(limit, available.cpus / cpus);
+    if (gpus > 0) limit = std::min(limit, available.gpus / gpus);
+    if (memory > 0) limit = std::min(limit, available.memory / memory);
+    return std::max<std::int64_t>(0, limit);
   }
   Resources& operator+=(const Resources& o) {
     cpus += o.cpus, gpus += o.gpus, memory += o.memory;
@@ -49,13 +49,13 @@
   friend Resources operator*(Resources a, std::int64_t n) { return {a.cpus * n, a.gpus * n, a.memory * n}; }
   bool operator==(const Resources&) const = default;
 };
-std::int64_t to_units(double amount);
+std::int64_t to_millionths(double amount);
 
 enum class Shape : std::uint8_t { array, gang, service };
 enum class Rank : std::uint8_t { low, normal, high, production };
 
 inline constexpr std::uint32_t kMaxTasks = 100'000;
-inline constexpr std::size_t kMaxBody = 64 * 1024;
+inline constexpr std::size_t kMaxJobBodyBytes = 64 * 1024;
 
 struct JobSpec {
   std::string id, job_class, team, image;
@@ -67,13 +67,13 @@
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
   bool one_zone = false, spread = false, spot = false;
-  Micros estimate = 0, checkpoint_every = 0, save_time = 0;
+  Micros estimate = 0, checkpoint_interval = 0, checkpoint_duration = 0;
   std::optional<Micros> deadline;
-  std::vector<std::string> needs;  // jobs that must be done first, each once
+  std::vector<std::string> dependencies;  // jobs that must be done first, each once
 };
 bool valid_job_id(const std::string& id);
-/// A submission: at most kMaxBody, no field twice; `rigtypes`, `site`, `dueS` and `waitsOn` may be left out.
-/// Throws Malformed, which names the field and, where it could be read, the job.
+/// A submission: at most kMaxJobBodyBytes, no field twice; `rigtypes`, `site`, `dueS` and `waitsOn` may be
+/// left out. Throws Malformed, which names the field and, where it could be read, the job.
 JobSpec parse_job(const std::string& body);
 /// As it was submitted, or as a record of ours holds it. Throws Malformed.
 JobSpec job_from_json(const Json& j);
@@ -81,12 +81,12 @@
 
 enum class JobStatus : std::uint8_t { queued, running, done, cancelled };
 std::string status_body(const std::string& id, JobStatus status,
-                        std::optional<std::pair<std::uint32_t, std::uint32_t>> done_running = {});
+                        std::optional<std::pair<std::uint32_t, std::uint32_t>> done_and_running = {});
 std::string error_body(const std::string& reason);
 
 // Workers
 enum class TaskState : std::uint8_t { fetching, waiting, running, saving, exited };
-enum class Cause : std::uint8_t {
+enum class ExitCause : std::uint8_t {
   none,
   done,
   stopped,
@@ -103,14 +103,14 @@
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
-  Cause cause = Cause::none;
-  bool saved = false;
+  ExitCause cause = ExitCause::none;
+  bool checkpoint_saved = false;
 };
 struct WorkerReport {
   std::string machine, address, type, zone;
   bool spot = false;
   std::uint64_t session = 0, seq = 0, token = 0;
-  std::optional<Micros> notice;
+  std::optional<Micros> reclaim_notice;
   std::vector<TaskReport> tasks;
 };
 WorkerReport parse_report(const std::string& body);  // throws Malformed
@@ -122,36 +122,36 @@
   std::uint64_t attempt = 0;
   Micros grace = 0;
 };
-std::string report_answer(std::uint64_t token, const std::vector<Order>& orders);
+std::string report_response(std::uint64_t token, const std::vector<Order>& orders);
 std::string redirect_body(const std::string& node);
-std::string direct_orders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
+std::string push_body(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
 
 // Cloud
 struct MachineType {
   std::string name;
   Resources total;
   double price = 0, spot_price = 0, cache_gb = 0, fetch_gb_per_s = 1;
-  Micros boot = 0;
+  Micros boot_time = 0;
   std::vector<std::string> zones;
 };
-std::vector<MachineType> parse_types(const std::string& body);
-std::vector<MachineType> types_from_json(const Json& j);
-Json types_to_json(const std::vector<MachineType>& types);
+std::vector<MachineType> parse_machine_types(const std::string& body);
+std::vector<MachineType> machine_types_from_json(const Json& j);
+Json machine_types_to_json(const std::vector<MachineType>& types);
 
 struct CloudMachine {
   std::string id, address, type, zone, state;
   bool spot = false;
   Micros age = 0;
 };
-struct CloudPage {
+struct CloudMachinePage {
   std::vector<CloudMachine> machines;
-  bool more = false;
+  bool has_more = false;
 };
-CloudPage parse_cloud_page(const std::string& body);
-std::string rental_body(const std::string& request, const std::string& type, const std::string& zone,
-                        bool spot, int count);
-std::vector<std::string> parse_rented(const std::string& body);
-std::string rental_delete_body(const std::vector<std::string>& ids);
+CloudMachinePage parse_cloud_machine_page(const std::string& body);
+std::string rental_request_body(const std::string& request, const std::string& type, const std::string& zone,
+                                bool spot, int count);
+std::vector<std::string> parse_rented_ids(const std::string& body);
+std::string rental_delete_request_body(const std::vector<std::string>& ids);
 
 // State service
 struct Guard {
@@ -170,16 +170,16 @@
   std::uint64_t version = 0;
   bool removed = false;
 };
-struct Page {
+struct RowPage {
   std::vector<Row> rows;
-  bool more = false;
+  bool has_more = false;
   std::uint64_t revision = 0;
 };
 std::string commit_body(const std::vector<Guard>& guards, const std::vector<Write>& writes);
-Page parse_page(const std::string& body);
-Page parse_changes(const std::string& body);
+RowPage parse_row_page(const std::string& body);
+RowPage parse_changes(const std::string& body);
 Row parse_row(const std::string& body);
 std::uint64_t parse_lease(const std::string& body);
-std::string lease_body(Micros life);
+std::string lease_request_body(Micros duration);
 
 }  // namespace aspenwick::wire
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -51,7 +51,7 @@
     } else if (key.starts_with("s/holder/")) {
       EXPECT_EQ(share::owner_to_json(share::owner_from_json(value, 7)), value);
     } else if (key == "s/types") {
-      EXPECT_EQ(job::types_rows(wire::types_from_json(value), 2048), std::vector{value});
+      EXPECT_EQ(job::types_rows(wire::machine_types_from_json(value), 2048), std::vector{value});
     } else if (key.starts_with("p/")) {
       job::DoneSet d(30);
       d.merge_chunk(0, value.get<std::string>());
@@ -129,7 +129,7 @@
     wire::WorkerReport r;
     r.machine = "i-1", r.session = 1, r.seq = ++seq_, r.token = 5ULL << 20;
     for (std::uint32_t i = from; i < to; ++i)
-      r.tasks.push_back({"j-000412", i, 1, wire::TaskState::exited, wire::Cause::done, false});
+      r.tasks.push_back({"j-000412", i, 1, wire::TaskState::exited, wire::ExitCause::done, false});
     return h.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
   }
   static std::vector<share::ShareController::DoneWrite> write(share::ShareController& h) {
@@ -157,7 +157,7 @@
   std::vector<std::string> names;
   for (const auto& w : rest) {
     names.push_back(share::ShareController::row_name(w.row));
-    EXPECT_LE(w.text.size() + 2, platform_.value_room());
+    EXPECT_LE(w.text.size() + 2, platform_.value_size_limit());
   }
   EXPECT_EQ(names, (std::vector<std::string>{"u/3", "u/4"}));
   // An older version could take over, and reads no units: the workers keep those results.
@@ -203,9 +203,9 @@
   for (const auto& row : rows) {
     EXPECT_LE(row.dump().size(), 1792U);
     EXPECT_EQ(row.at("rows"), rows.size());
-    for (auto& t : wire::types_from_json(row)) back.push_back(t);
+    for (auto& t : wire::machine_types_from_json(row)) back.push_back(t);
   }
-  EXPECT_EQ(wire::types_to_json(back), wire::types_to_json(types));
+  EXPECT_EQ(wire::machine_types_to_json(back), wire::machine_types_to_json(types));
 }
 
 TEST(Compatibility, TypesThatCannotTakeATaskNeedNotBeKept) {
--- a/tests/engine.h
+++ b/tests/engine.h
@@ -38,16 +38,16 @@
   explicit NodeLoop(Engine& engine) : engine_(engine) {}
   Micros now() const override { return engine_.now; }
   Micros time_of_day() const override { return engine_.now + 1'700'000'000 * kSecond; }
-  void later(Micros delay, std::function<void()> what) override {
+  void call_later(Micros delay, std::function<void()> what) override {
     engine_.at(delay, [this, alive = alive_, what = std::move(what)]() mutable {
       if (!*alive) return;
-      if (frozen() > 0) return later(frozen() + ++waited_ * kWorkedThrough, std::move(what));
+      if (frozen() > 0) return call_later(frozen() + ++waited_ * kWorkedThrough, std::move(what));
       what();
     });
   }
-  void every(Micros period, std::function<void()> what) override {
-    later(period, [this, period, what] {
-      every(period, what);
+  void call_every(Micros period, std::function<void()> what) override {
+    call_later(period, [this, period, what] {
+      call_every(period, what);
       what();
     });
   }
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -33,7 +33,7 @@
 }
 
 inline std::vector<wire::MachineType> machine_types() {
-  return wire::types_from_json(wire::Json::parse(R"({"rigtypes":[
+  return wire::machine_types_from_json(wire::Json::parse(R"({"rigtypes":[
     {"sku":"cpu8","vcpus":8,"cards":0,"ramGb":32,"localGb":20,"price":0.8,"lowPrice":0.3,"startupS":25,"sites":["z1","z2","z3"]},
     {"sku":"gpu4","vcpus":16,"cards":4,"ramGb":64,"localGb":20,"price":8,"lowPrice":3,"startupS":40,"sites":["z1"]}]})"));
 }
--- a/tests/graph_test.cpp
+++ b/tests/graph_test.cpp
@@ -13,7 +13,7 @@
   void accept(int id, const std::vector<int>& needs, wire::Rank rank = wire::Rank::low) {
     auto spec = std::make_shared<JobSpec>(wire::job_from_json(testing::job_json()));
     spec->id = name(id), spec->rank = rank;
-    for (const int n : needs) spec->needs.push_back(name(n));
+    for (const int n : needs) spec->dependencies.push_back(name(n));
     JobRecord r;
     r.spec = spec, r.version = ++version_, r.submitted = kSecond;
     records_[name(id)] = r;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -12,9 +12,9 @@
 #include "app/sockets.h"
 #include "fixtures.h"
 #include "loopback.h"
-#include "net/connections.h"
+#include "net/connection_table.h"
 #include "net/event_loop.h"
-#include "net/patience.h"
+#include "net/retry.h"
 
 namespace aspenwick::net {
 namespace {
@@ -24,27 +24,27 @@
 
 TEST(ConnectionsTest, TheLongestIdleOfOthersMakesWay) {
   int ids[20];
-  Connections c(20);
-  for (int i = 0; i < 10; ++i) c.used(&ids[i], Connections::Owner::machine);
-  for (int i = 10; i < 16; ++i) c.used(&ids[i], Connections::Owner::other);
-  for (int i = 0; i < 16; ++i) c.answered(&ids[i]);
-  EXPECT_TRUE(c.ask_to_close(&ids[12]));  // 16 of 20
-  EXPECT_FALSE(c.ask_to_close(&ids[3]));  // machines report for good
-  EXPECT_TRUE(c.to_close().empty());
-  c.used(&ids[10], Connections::Owner::other);  // asks, and has no answer yet
-  for (int i = 16; i < 20; ++i) c.used(&ids[i], Connections::Owner::machine);
-  EXPECT_EQ(c.to_close(), (std::vector<Connections::Id>{&ids[11], &ids[12]}));
-  c.closed(&ids[11]);
-  c.closed(&ids[11]);
-  EXPECT_EQ(c.to_close(), (std::vector<Connections::Id>{&ids[12]}));
-  EXPECT_EQ(c.open(), 19U);
-  EXPECT_EQ(c.machines(), 14U);
+  ConnectionTable c(20);
+  for (int i = 0; i < 10; ++i) c.on_request(&ids[i], ConnectionTable::ClientKind::worker);
+  for (int i = 10; i < 16; ++i) c.on_request(&ids[i], ConnectionTable::ClientKind::other);
+  for (int i = 0; i < 16; ++i) c.on_response(&ids[i]);
+  EXPECT_TRUE(c.should_close_on_response(&ids[12]));  // 16 of 20
+  EXPECT_FALSE(c.should_close_on_response(&ids[3]));  // machines report for good
+  EXPECT_TRUE(c.idle_to_close().empty());
+  c.on_request(&ids[10], ConnectionTable::ClientKind::other);  // asks, and has no answer yet
+  for (int i = 16; i < 20; ++i) c.on_request(&ids[i], ConnectionTable::ClientKind::worker);
+  EXPECT_EQ(c.idle_to_close(), (std::vector<ConnectionTable::Id>{&ids[11], &ids[12]}));
+  c.on_close(&ids[11]);
+  c.on_close(&ids[11]);
+  EXPECT_EQ(c.idle_to_close(), (std::vector<ConnectionTable::Id>{&ids[12]}));
+  EXPECT_EQ(c.open_count(), 19U);
+  EXPECT_EQ(c.worker_count(), 14U);
 }
 
 TEST(SocketBudgetTest, ThePartsStayWithinTheWhole) {
   auto p = wire::parse_settings(testing::settings_json().dump());
   for (const int sockets : {150, 500, 1200, 1854, 4302, 100'000}) {
-    p.sockets = sockets;
+    p.max_sockets = sockets;
     const auto b = app::socket_budget(p);
     EXPECT_GE(b.pushes, 1U);
     EXPECT_LE(b.pushes + b.callers + b.spare + 2 * app::SocketBudget::kToAService +
@@ -83,8 +83,8 @@
   };
   for (int i = 0; i < 10; ++i) ask(users.emplace_back(connect_to(port)), "/user");
   for (int i = 0; i < 16; ++i) ask(machines.emplace_back(connect_to(port)), "/machine");
-  EXPECT_EQ(server->connections().machines(), 16U);
-  EXPECT_LE(server->connections().open(), 19U);
+  EXPECT_EQ(server->connections().worker_count(), 16U);
+  EXPECT_LE(server->connections().open_count(), 19U);
   char c = 0;
   turn_until([&] {  // the first user's connection is closed: an end, or an error, after the answer
     ssize_t n = 0;
@@ -94,7 +94,7 @@
   });
   for (const int fd : users) close(fd);
   for (const int fd : machines) close(fd);
-  turn_until([&] { return server->connections().open() == 0; });
+  turn_until([&] { return server->connections().open_count() == 0; });
 }
 
 TEST_F(HttpTest, PushesKeepWithinTheirConnections) {
@@ -112,7 +112,7 @@
       client.request(Method::post, e, "/do", "{}", 5 * kSecond, [&](int status, const std::string&) {
         EXPECT_EQ(status, 200);
         ++answered;
-        most = std::max(most, client.open());
+        most = std::max(most, client.open_count());
       });
   turn_until([&] { return answered == 60; });
   EXPECT_LE(most, 4U);
@@ -122,12 +122,12 @@
 TEST_F(HttpTest, APortStillInUseIsTriedAgain) {
   const auto port = free_port();
   auto former = serve(port, 10);
-  EXPECT_THROW(patiently([&] { return serve(port, 10); }, 3, kMillisecond), std::runtime_error);
+  EXPECT_THROW(retry_on_error([&] { return serve(port, 10); }, 3, kMillisecond), std::runtime_error);
   std::thread end([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(30));
     former.reset();
   });
-  EXPECT_NO_THROW(patiently([&] { return serve(port, 10); }, 10'000, kMillisecond));
+  EXPECT_NO_THROW(retry_on_error([&] { return serve(port, 10); }, 10'000, kMillisecond));
   end.join();
 }
 
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -15,11 +15,11 @@
 struct Cloud : net::Requester {
   struct Call {
     std::string path, body;
-    net::Answered done;
+    net::ResponseCallback done;
   };
   std::vector<Call> calls;
   void request(net::Method, const wire::Endpoint&, const std::string& path, const std::string& body, Micros,
-               net::Answered done) override {
+               net::ResponseCallback done) override {
     calls.push_back({path, body, std::move(done)});
   }
   std::vector<Call> take(const std::string& path) {
@@ -48,7 +48,7 @@
                  },
                  [this](const auto&) { ++found; }, [](const auto&) {}, [](const auto&) {}}};
   void SetUp() override {
-    waiting.need = {wire::to_units(2), 0, wire::to_units(1)};
+    waiting.need = {wire::to_millionths(2), 0, wire::to_millionths(1)};
     waiting.waiting = 8, waiting.rank = wire::Rank::high, waiting.slack_ms = 10'000;
   }
   void lead(std::uint64_t epoch) {
--- a/tests/outside_input_test.cpp
+++ b/tests/outside_input_test.cpp
@@ -75,16 +75,16 @@
   feed(
       R"({"rigtypes":[{"sku":"g8","vcpus":96,"cards":8,"ramGb":768,"localGb":200,"fetchGbPerS":1.0,"price":12.0,
        "lowPrice":4.5,"startupS":45,"sites":["a","b"]}]})",
-      [](const std::string& s) { wire::parse_types(s); });
+      [](const std::string& s) { wire::parse_machine_types(s); });
   feed(R"({"rigs":[{"nameId":"i-000231","endpoint":"10.1.0.232:9000","rigtype":"g8","site":"a","loaner":true,
        "status":"running","ageS":61.5}],"hasNext":false})",
-       [](const std::string& s) { wire::parse_cloud_page(s); });
-  feed(R"({"rigs":["i-000231","i-000232"]})", [](const std::string& s) { wire::parse_rented(s); });
+       [](const std::string& s) { wire::parse_cloud_machine_page(s); });
+  feed(R"({"rigs":["i-000231","i-000232"]})", [](const std::string& s) { wire::parse_rented_ids(s); });
 }
 
 TEST(OutsideInput, FromTheStateService) {
   feed(R"({"rows":[{"path":"a/b","value":{"n":1},"stamp":412}],"hasNext":true,"ledgerRev":431})",
-       [](const std::string& s) { wire::parse_page(s); });
+       [](const std::string& s) { wire::parse_row_page(s); });
   feed(R"({"ledgerRev":433,"news":[{"set":"c/9","value":{"n":1},"stamp":433},{"delete":"c/d","stamp":432}]})",
        [](const std::string& s) { wire::parse_changes(s); });
   feed(R"({"path":"a/b","value":{"n":1},"stamp":412,"hold":7})",
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -40,17 +40,17 @@
     tell(id);
   }
   static wire::TaskReport done(const std::string& id, std::uint32_t index, std::uint64_t attempt = 1) {
-    return {id, index, attempt, wire::TaskState::exited, wire::Cause::done, false};
+    return {id, index, attempt, wire::TaskState::exited, wire::ExitCause::done, false};
   }
   static wire::TaskReport running(const std::string& id, std::uint32_t index) {
-    return {id, index, 1, wire::TaskState::running, wire::Cause::none, false};
+    return {id, index, 1, wire::TaskState::running, wire::ExitCause::none, false};
   }
   /// The tasks that the machine may forget.
   std::set<place::TaskKey> report(const std::string& machine, std::vector<wire::TaskReport> tasks) {
     wire::WorkerReport r;
     r.machine = machine, r.address = "127.0.0.1:9", r.type = "cpu8", r.zone = "z1";
     r.session = session, r.seq = ++seq, r.token = kEpoch << place::kEpochShift;
-    r.notice = notice;
+    r.reclaim_notice = notice;
     r.tasks = std::move(tasks);
     std::set<place::TaskKey> forgotten;
     const auto answer = owner.on_report(r, now, StartRefusal::records_stale);
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -19,7 +19,7 @@
 
   static share::Demand demand(double cpus, std::uint32_t waiting, bool spot, wire::Rank rank) {
     share::Demand d;
-    d.need = {wire::to_units(cpus), 0, wire::to_units(1)};
+    d.need = {wire::to_millionths(cpus), 0, wire::to_millionths(1)};
     d.waiting = waiting, d.spot = spot, d.rank = rank;
     d.estimated_run_ms = 30'000, d.slack_ms = 10'000;
     return d;
@@ -81,7 +81,7 @@
   for (int i = 0; i < 10; ++i) {
     auto m = machine("i-00000" + std::to_string(i), 0, 0);
     m.empty = false;
-    m.free.cpus -= wire::to_units(i < 5 ? 2 : 8);  // the later ones are full
+    m.free.cpus -= wire::to_millionths(i < 5 ? 2 : 8);  // the later ones are full
     if (i == 0) m.top_rank = wire::Rank::production;
     rich.machines.push_back(m);
   }
@@ -215,7 +215,7 @@
 
 TEST_F(ProvisionerTest, SpotGpuMachinesStayForAWhileWhereGangsOnOrdinaryOnesCanMoveToThem) {
   share::Demand d = demand(1, 1, true, wire::Rank::normal);
-  d.need.gpus = wire::to_units(4), d.type_mask = 2, d.shape = wire::Shape::gang;
+  d.need.gpus = wire::to_millionths(4), d.type_mask = 2, d.shape = wire::Shape::gang;
   auto spot = machine("i-000001", 0, 60 * kSecond);
   auto plain = machine("i-000002", 0, 0);
   records_["i-000001"].type = records_["i-000002"].type = "gpu4";
@@ -244,10 +244,10 @@
   auto busy = machine("i-000001", 0, 0), busier = machine("i-000002", 0, 0), gpu = machine("i-000003", 0, 0);
   records_["i-000003"].type = "gpu4";
   for (auto* m : {&busy, &busier, &gpu}) m->empty = false;
-  busy.free.cpus = wire::to_units(6), busier.free.cpus = wire::to_units(3);
-  gpu.free = types_[1].total, gpu.free.gpus = wire::to_units(1), gpu.top_rank = wire::Rank::normal;
+  busy.free.cpus = wire::to_millionths(6), busier.free.cpus = wire::to_millionths(3);
+  gpu.free = types_[1].total, gpu.free.gpus = wire::to_millionths(1), gpu.top_rank = wire::Rank::normal;
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
-  training.need.gpus = wire::to_units(4), training.type_mask = 2, training.shape = wire::Shape::gang;
+  training.need.gpus = wire::to_millionths(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   const std::vector<share::MachineState> others{busy, busier, gpu};
   for (const auto& t : types_)
     for (const auto& z : t.zones)
@@ -275,7 +275,7 @@
 // Machines that GPU work wants are not rented for other work, but where no other could hold it.
 TEST_F(ProvisionerTest, WorkThatOnlyGpuMachinesHoldGetsOneWhileGpuWorkWaits) {
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
-  training.need.gpus = wire::to_units(4), training.type_mask = 2, training.shape = wire::Shape::gang;
+  training.need.gpus = wire::to_millionths(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   share::Demand large = demand(12, 1, true, wire::Rank::normal);
   large.shape = wire::Shape::gang, large.type_mask = 2;
   provisioner_.tick(now_, {{0, true, {training}, {}}}, records_);  // learns that the type is wanted
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -52,7 +52,7 @@
   other.team = "nobody";
   EXPECT_EQ(never_runs(other, types, settings.teams), "unknown team");
   other = spec;
-  other.need.gpus = wire::to_units(1);
+  other.need.gpus = wire::to_millionths(1);
   other.zone = "z2";  // the only type with GPUs is not offered there
   EXPECT_NE(never_runs(other, types, settings.teams), "");
   other.zone = "z1";
--- a/tests/records_rows_test.cpp
+++ b/tests/records_rows_test.cpp
@@ -10,7 +10,7 @@
 struct RowsTest : NodeTest {
   struct Silent : net::Requester {
     void request(net::Method, const wire::Endpoint&, const std::string&, const std::string&, Micros,
-                 net::Answered) override {}
+                 net::ResponseCallback) override {}
   };
   static share::MachineRecord machine(const std::string& id, std::uint64_t version) {
     share::MachineRecord m;
--- a/tests/report_test.cpp
+++ b/tests/report_test.cpp
@@ -90,7 +90,7 @@
   r.session = count(j, "stint");
   r.seq = count(j, "tally");
   r.token = optional_field(j, "baton") ? count(j, "baton") : 0;
-  if (optional_field(j, "warningS")) r.notice = from_seconds(amount(j, "warningS"));
+  if (optional_field(j, "warningS")) r.reclaim_notice = from_seconds(amount(j, "warningS"));
   if (const Json* pieces = optional_field(j, "pieces")) {
     if (!pieces->is_array()) throw Malformed("not a list: pieces");
     for (const Json& p : *pieces) {
@@ -99,9 +99,9 @@
       std::tie(t.job, t.index) = parse_task(text(p, "piece"));
       t.attempt = count(p, "try");
       t.state = name_of<TaskState>(p, "status", kStates);
-      if (optional_field(p, "cause")) t.cause = name_of<Cause>(p, "cause", kCauses);
+      if (optional_field(p, "cause")) t.cause = name_of<ExitCause>(p, "cause", kCauses);
       if (const Json* saved = optional_field(p, "stored"))
-        t.saved = saved->is_boolean() && saved->get<bool>();
+        t.checkpoint_saved = saved->is_boolean() && saved->get<bool>();
       r.tasks.push_back(std::move(t));
     }
   }
@@ -111,11 +111,11 @@
 std::string shown(const WorkerReport& r) {
   std::string s = r.machine + "|" + r.address + "|" + r.type + "|" + r.zone + "|" + std::to_string(r.spot) +
                   std::to_string(r.session) + "," + std::to_string(r.seq) + "," + std::to_string(r.token) +
-                  (r.notice ? " notice " + std::to_string(*r.notice) : "");
+                  (r.reclaim_notice ? " notice " + std::to_string(*r.reclaim_notice) : "");
   for (const auto& t : r.tasks)
     s += ";" + t.job + "/" + std::to_string(t.index) + "@" + std::to_string(t.attempt) + ":" +
          std::to_string(static_cast<int>(t.state)) + std::to_string(static_cast<int>(t.cause)) +
-         std::to_string(t.saved);
+         std::to_string(t.checkpoint_saved);
   return s;
 }
 
--- a/tests/requests_test.cpp
+++ b/tests/requests_test.cpp
@@ -198,7 +198,7 @@
 /// A node's records alone: nothing is sent, nothing answered.
 struct Silent : net::Requester {
   void request(net::Method, const wire::Endpoint&, const std::string&, const std::string&, Micros,
-               net::Answered) override {}
+               net::ResponseCallback) override {}
 };
 
 // Records of a job come by the watch, a fresh read, a peer's word and our own commits, in any order and
--- a/tests/result_writer_test.cpp
+++ b/tests/result_writer_test.cpp
@@ -14,12 +14,12 @@
   struct Request {
     net::Method method;
     std::string path, body;
-    net::Answered done;
+    net::ResponseCallback done;
   };
   struct Scripted : net::Requester {
     std::deque<Request> waiting;
     void request(net::Method method, const wire::Endpoint&, const std::string& path, const std::string& body,
-                 Micros, net::Answered done) override {
+                 Micros, net::ResponseCallback done) override {
       waiting.push_back({method, path, body, std::move(done)});
     }
     /// The first request whose path or body has the text; none: a failure.
@@ -37,7 +37,7 @@
     }
   };
   ResultWriterTest() {
-    for (const auto& type : job::types_rows(machine_types(), platform.value_room()))
+    for (const auto& type : job::types_rows(machine_types(), platform.value_size_limit()))
       records.apply({"s/types", type, 2, false});
     records.apply({"s/machine/i-1", machine(0), 3, false});
     records.in_step();
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -11,9 +11,9 @@
 
 TEST(PlatformSettings, AreReadAndUnknownFieldsIgnored) {
   const auto s = wire::parse_settings(testing::settings_json().dump());
-  EXPECT_EQ(s.nodes(), (std::vector<std::string>{"a", "b", "c"}));
+  EXPECT_EQ(s.node_names(), (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(s.worker_lease, 12 * kSecond);
-  EXPECT_EQ(s.value_bytes, 16384U);
+  EXPECT_EQ(s.max_value_bytes, 16384U);
 }
 
 TEST(PlatformSettings, AMissingOrWrongFieldIsNamed) {
@@ -42,13 +42,13 @@
   auto& state = j["params"]["state"];
   for (const auto& next : {wire::Json(), wire::Json::object()}) {
     state["next"] = next;  // absent in part or whole: the present limits stand
-    EXPECT_EQ(wire::parse_settings(j.dump()).txn_ops, 20U);
-    EXPECT_EQ(wire::parse_settings(j.dump()).value_bytes, 16U * 1024);
+    EXPECT_EQ(wire::parse_settings(j.dump()).max_txn_ops, 20U);
+    EXPECT_EQ(wire::parse_settings(j.dump()).max_value_bytes, 16U * 1024);
   }
   state["next"] = {{"value_kb", 2.0}, {"txn_ops", 6}, {"write_rps", 30}};
   const auto s = wire::parse_settings(j.dump());
-  EXPECT_EQ(s.value_bytes, 2U * 1024);
-  EXPECT_EQ(s.txn_ops, 6U);
+  EXPECT_EQ(s.max_value_bytes, 2U * 1024);
+  EXPECT_EQ(s.max_txn_ops, 6U);
   EXPECT_DOUBLE_EQ(s.state_write_rps, 25);  // the smaller of the two
   EXPECT_DOUBLE_EQ(s.state_rps, 80);
 }
--- a/tests/small_world.cpp
+++ b/tests/small_world.cpp
@@ -37,14 +37,14 @@
   Wire(SmallWorld& world, std::string node, net::Loop& loop)
       : world_(world), node_(std::move(node)), loop_(loop) {}
   void request(net::Method method, const wire::Endpoint& to, const std::string& path, const std::string& body,
-               Micros deadline, net::Answered done) override {
-    auto once = std::make_shared<net::Answered>(std::move(done));
+               Micros deadline, net::ResponseCallback done) override {
+    auto once = std::make_shared<net::ResponseCallback>(std::move(done));
     std::function<void(int, const std::string&)> answer = [this, once](int status, const std::string& text) {
-      loop_.later(kTrip, [once, status, text] {
+      loop_.call_later(kTrip, [once, status, text] {
         if (auto f = std::exchange(*once, nullptr)) f(status, text);
       });
     };
-    loop_.later(deadline, [once] {
+    loop_.call_later(deadline, [once] {
       if (auto f = std::exchange(*once, nullptr)) f(0, "");
     });
     if (to.port == 6) {
@@ -59,7 +59,7 @@
         const Micros half = world_.state_slow / 2;
         const Micros late = half + static_cast<Micros>(world_.random() % static_cast<std::uint64_t>(half));
         answer = [this, answer, late](int status, const std::string& text) {
-          loop_.later(late, [answer, status, text] { answer(status, text); });
+          loop_.call_later(late, [answer, status, text] { answer(status, text); });
         };
       }
       const auto [soonest, latest] = world_.commit_late_by;
@@ -138,11 +138,11 @@
     world_.held_frames_.emplace_back(node, bytes);
     return true;
   }
-  to->second->loop.later(kTrip, [this, node, bytes, to = to->second.get()] {
+  to->second->loop.call_later(kTrip, [this, node, bytes, to = to->second.get()] {
     to->controller->heard(share::decode(bytes), [this, node](const share::Frame& f) {
       if (cut(node)) return;
-      loop_.later(kTrip,
-                  [this, f] { world_.nodes_.at(node_)->controller->heard(f, [](const share::Frame&) {}); });
+      loop_.call_later(
+          kTrip, [this, f] { world_.nodes_.at(node_)->controller->heard(f, [](const share::Frame&) {}); });
     });
   });
   return true;
@@ -152,7 +152,7 @@
   hold_frames.clear();
   for (const auto& [node, bytes] : std::exchange(held_frames_, {}))
     if (auto to = nodes_.find(node); to != nodes_.end())
-      to->second->loop.later(kTrip, [bytes, n = to->second.get()] {
+      to->second->loop.call_later(kTrip, [bytes, n = to->second.get()] {
         n->controller->heard(share::decode(bytes), [](const share::Frame&) {});
       });
 }
@@ -192,8 +192,8 @@
     for (const auto& text : std::exchange(kept_reports_, {}))
       for (const auto& [name, node] : nodes_) {
         auto post = std::make_shared<Post>(net::Method::post, "/hello", text, [](int, const std::string&) {});
-        node->loop.later(kTrip + static_cast<Micros>(random() % 4) * 30 * kMillisecond,
-                         [to = node.get(), post] { to->controller->asked(post); });
+        node->loop.call_later(kTrip + static_cast<Micros>(random() % 4) * 30 * kMillisecond,
+                              [to = node.get(), post] { to->controller->asked(post); });
       }
   };
   check_waits();
@@ -298,7 +298,7 @@
                                        told({status, Json::parse(text, nullptr, false)});
                                      });
   Node* to = nodes_.at(node).get();
-  to->loop.later(kTrip, [to, post] { to->controller->asked(post); });
+  to->loop.call_later(kTrip, [to, post] { to->controller->asked(post); });
 }
 
 Answer SmallWorld::ask(const std::string& node, net::Method method, const std::string& path,
@@ -318,7 +318,7 @@
 
 void SmallWorld::cloud(net::Method method, const std::string& path, const std::string& body,
                        const StateStore::Done& done) {
-  if (path == "/flavors") return done(200, wire::types_to_json(machine_types()).dump());
+  if (path == "/flavors") return done(200, wire::machine_types_to_json(machine_types()).dump());
   if (path.starts_with("/rentals?")) {
     Json rigs = Json::array();
     for (const auto& [id, w] : workers_)
@@ -434,7 +434,7 @@
   };
   auto send = [this](Node* to, const std::string& text, std::function<void(int, const std::string&)> done) {
     auto post = std::make_shared<Post>(net::Method::post, "/hello", text, std::move(done));
-    to->loop.later(std::max(kTrip, report_takes), [to, post] { to->controller->asked(post); });
+    to->loop.call_later(std::max(kTrip, report_takes), [to, post] { to->controller->asked(post); });
   };
   send(nodes_.at(w.node).get(), body.dump(), answered);
   if (by_chance(report_kept)) kept_reports_.push_back(body.dump());
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -15,11 +15,11 @@
 struct Scripted : net::Requester {
   struct Call {
     std::string path;
-    net::Answered done;
+    net::ResponseCallback done;
   };
   std::deque<Call> calls;
   void request(net::Method, const wire::Endpoint&, const std::string& path, const std::string&, Micros,
-               net::Answered done) override {
+               net::ResponseCallback done) override {
     calls.push_back({path, std::move(done)});
   }
   Call take() {
@@ -63,12 +63,12 @@
 TEST_F(ClientTest, AChangeIsToldOnceWhicheverAnswerBringsIt) {
   const Micros asked = engine.now;
   catch_up().done(200, changes(12, {11, 12}));
-  EXPECT_EQ(client.watched(), 12U);
+  EXPECT_EQ(client.watched_revision(), 12U);
   EXPECT_EQ(client.watched_as_of(), asked);
   EXPECT_EQ(caught_up, 1);
   watch.done(200, changes(11, {11}));  // opened earlier, it comes later
   EXPECT_EQ(told, (std::vector<std::uint64_t>{11, 12}));
-  EXPECT_EQ(client.watched(), 12U);
+  EXPECT_EQ(client.watched_revision(), 12U);
   EXPECT_EQ(client.watched_as_of(), asked);
 }
 
@@ -76,9 +76,9 @@
   const Micros as_of = client.watched_as_of();
   catch_up().done(200, changes(9, {}));
   watch.done(200, changes(8, {8}));
-  EXPECT_EQ(client.old_answers(), 2U);
+  EXPECT_EQ(client.stale_responses(), 2U);
   EXPECT_EQ(client.watched_as_of(), as_of);
-  EXPECT_EQ(client.watched(), 10U);
+  EXPECT_EQ(client.watched_revision(), 10U);
   EXPECT_TRUE(told.empty());
   EXPECT_EQ(caught_up, 0);
 }
@@ -91,7 +91,7 @@
   client.changes("s/job/", 10, done);
   http.take().done(200, changes(10, {}));
   EXPECT_EQ(read, (std::vector<bool>{false, true}));
-  EXPECT_EQ(client.old_answers(), 1U);
+  EXPECT_EQ(client.stale_responses(), 1U);
 }
 
 TEST_F(ClientTest, ADamagedAnswerMakesNothingFresher) {
@@ -129,7 +129,7 @@
   EXPECT_EQ(http.calls.size(), 1U);
   late.done(200, changes(12, {11, 12}));
   EXPECT_TRUE(told.empty());
-  EXPECT_EQ(client.watched(), 10U);
+  EXPECT_EQ(client.watched_revision(), 10U);
 }
 
 }  // namespace
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -74,7 +74,7 @@
     r.session = static_cast<std::uint64_t>(number("session", 1));
     r.seq = static_cast<std::uint64_t>(number("seq", 1));
     r.token = parse_pair(key("token", "0"), '+');
-    if (keys_.contains("notice")) r.notice = from_seconds(number("notice", 0));
+    if (keys_.contains("notice")) r.reclaim_notice = from_seconds(number("notice", 0));
     for (std::size_t i = from; i < words_.size(); ++i) {
       const std::string& w = words_[i];
       const auto slash = w.find('/'), sign = w.find('@'), colon = w.find(':');
@@ -89,11 +89,11 @@
       if (state.starts_with("ended")) {
         t.state = wire::TaskState::exited;
         const std::string cause = state.substr(6);
-        t.cause = cause == "done"         ? wire::Cause::done
-                  : cause == "error"      ? wire::Cause::error
-                  : cause == "no_room"    ? wire::Cause::no_room
-                  : cause == "incomplete" ? wire::Cause::gang_incomplete
-                                          : wire::Cause::stopped;
+        t.cause = cause == "done"         ? wire::ExitCause::done
+                  : cause == "error"      ? wire::ExitCause::error
+                  : cause == "no_room"    ? wire::ExitCause::no_room
+                  : cause == "incomplete" ? wire::ExitCause::gang_incomplete
+                                          : wire::ExitCause::stopped;
       }
       r.tasks.push_back(t);
     }
@@ -141,7 +141,7 @@
         auto spec = *r.spec;
         spec.job_class = key("class", "batch");
         std::istringstream needs(key("needs", ""));
-        for (std::string n; std::getline(needs, n, ',');) spec.needs.push_back(n);
+        for (std::string n; std::getline(needs, n, ',');) spec.dependencies.push_back(n);
         r.spec = std::make_shared<JobSpec>(spec);
         jobs_[words_.at(0)] = r;
         graph_.update(words_.at(0), r);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -31,8 +31,9 @@
     EXPECT_EQ(job_to_json(parse_job(j.dump())), none);
   }
   j["waitsOn"] = {"j-2", "j-1", "j-2"};
-  EXPECT_EQ(parse_job(j.dump()).needs, (std::vector<std::string>{"j-2", "j-1"}));
-  EXPECT_EQ(job_from_json(job_to_json(parse_job(j.dump()))).needs, (std::vector<std::string>{"j-2", "j-1"}));
+  EXPECT_EQ(parse_job(j.dump()).dependencies, (std::vector<std::string>{"j-2", "j-1"}));
+  EXPECT_EQ(job_from_json(job_to_json(parse_job(j.dump()))).dependencies,
+            (std::vector<std::string>{"j-2", "j-1"}));
   for (const Json& bad :
        {Json("j-1"), Json(1), Json::object(), Json({"j-1", 2}), Json({"x-1"}), Json({""})}) {
     j["waitsOn"] = bad;
@@ -46,7 +47,7 @@
   // As long as the body allows.
   j["waitsOn"] = Json::array();
   for (int i = 0; i < 5000; ++i) j["waitsOn"].push_back("j-" + std::to_string(10'000 + i));
-  EXPECT_EQ(parse_job(j.dump()).needs.size(), 5000U);
+  EXPECT_EQ(parse_job(j.dump()).dependencies.size(), 5000U);
 }
 
 TEST(Job, BadInputIsRefusedWithAReason) {
@@ -83,7 +84,7 @@
   std::string huge = testing::job_json().dump();
   huge.replace(huge.find("\"vcpus\":2.0"), 11, "\"vcpus\":1e999");
   EXPECT_THROW(parse_job(huge), Malformed);
-  EXPECT_THROW(parse_job(std::string(kMaxBody + 1, ' ')), Malformed);
+  EXPECT_THROW(parse_job(std::string(kMaxJobBodyBytes + 1, ' ')), Malformed);
 }
 
 TEST(Report, IsRead) {
@@ -95,16 +96,16 @@
   EXPECT_EQ(r.tasks[0].state, TaskState::saving);
   EXPECT_EQ(r.tasks[0].index, 3U);
   EXPECT_EQ(r.tasks[1].attempt, 18446744073709551615ULL);
-  EXPECT_EQ(r.tasks[1].cause, Cause::stopped);
-  EXPECT_TRUE(r.tasks[1].saved);
-  EXPECT_EQ(*r.notice, 7'500'000);
+  EXPECT_EQ(r.tasks[1].cause, ExitCause::stopped);
+  EXPECT_TRUE(r.tasks[1].checkpoint_saved);
+  EXPECT_EQ(*r.reclaim_notice, 7'500'000);
 }
 
 TEST(Orders, AreWrittenAsTheProtocolHasThem) {
   const std::vector<Order> orders{{Order::Verb::launch, "j-1", 4, 2, 0},
                                   {Order::Verb::halt, "j-2", 1, 1, 10 * kSecond}};
-  EXPECT_EQ(report_answer(41, orders), R"({"baton":41,"orders":[{"piece":"j-1/4","try":2,"verb":"launch"},)"
-                                       R"({"piece":"j-2/1","try":1,"verb":"halt","windDownS":10.0}]})");
+  EXPECT_EQ(report_response(41, orders), R"({"baton":41,"orders":[{"piece":"j-1/4","try":2,"verb":"launch"},)"
+                                         R"({"piece":"j-2/1","try":1,"verb":"halt","windDownS":10.0}]})");
 }
 
 // Whatever comes from outside, a parser returns or throws; it never crashes.
@@ -145,13 +146,13 @@
             parse_report(s);
             break;
           case 2:
-            parse_page(s);
+            parse_row_page(s);
             break;
           case 3:
             parse_changes(s);
             break;
           default:
-            parse_cloud_page(s);
+            parse_cloud_machine_page(s);
             break;
         }
         ++parsed;
