--- a/src/net/exchange.h
+++ b/src/net/exchange.h
@@ -55,9 +55,9 @@
   Requester(const Requester&) = delete;
   Requester& operator=(const Requester&) = delete;
 
-  /// `done` is called exactly once, at the latest when `deadline` (from now) has passed.
+  /// `done` is called exactly once, at the latest when `timeout` has passed.
   virtual void request(Method method, const wire::Endpoint& to, const std::string& path,
-                       const std::string& body, Micros deadline, ResponseCallback done) = 0;
+                       const std::string& body, Micros timeout, ResponseCallback done) = 0;
 };
 
 }  // namespace aspenwick::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -144,7 +144,7 @@
 }
 
 void Client::request(Method method, const wire::Endpoint& to, const std::string& path,
-                     const std::string& body, Micros deadline, ResponseCallback done) {
+                     const std::string& body, Micros timeout, ResponseCallback done) {
   Pool& p = pool(to);
   auto* call = new Call{this, &p, method, path, body, std::move(done)};
   calls_.insert(call);
@@ -164,7 +164,7 @@
         c->client->finish(c, 0, "", false);
       },
       call);
-  const timeval tv = to_timeval(deadline);
+  const timeval tv = to_timeval(timeout);
   evtimer_add(call->timer, &tv);
   if (may_start(p)) return start(call);
   p.queue.push_back(call);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -51,7 +51,7 @@
   explicit Client(event_base* base, std::size_t max_per_endpoint = 12, std::size_t max_total = kUnlimited);
   ~Client() override;
   void request(Method method, const wire::Endpoint& to, const std::string& path, const std::string& body,
-               Micros deadline, ResponseCallback done) override;
+               Micros timeout, ResponseCallback done) override;
   std::size_t open_count() const { return open_count_; }
 
  private:
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -4,17 +4,21 @@
 
 namespace aspenwick::store {
 namespace {
+// Of the service's whole write rate, not divided by the number of nodes (see the constructor).
 constexpr double kWriteBudgetFraction = 0.6;
-constexpr double kReservedFraction = 0.25;  // of a full bucket of changes, for users
-constexpr double kRequestBudgetFraction =
-    0.9;  // of the budget; the rest is for clocks and bursts that overlap
+// Of the write bucket's capacity; only writes with Urgency::accept may use it.
+constexpr double kReservedFraction = 0.25;
+// Of this node's part of the request rate. The rest allows for clocks that differ and bursts that overlap.
+constexpr double kRequestBudgetFraction = 0.9;
 constexpr Micros kRequestTimeout = 2 * kSecond;
 constexpr Micros kLeaseRequestTimeout = 1200 * kMillisecond;
-// Counted from sending, a renewal is worth something as long as its lease: others are sent meanwhile.
+// A renewal counts from the time at which it was sent, so a late response is still useful as long as the
+// lease lasts. Further renewals are sent in the meantime.
 constexpr Micros kRenewalTimeout = 4 * kSecond;
 constexpr Micros kDispatchInterval = 20 * kMillisecond;
 constexpr Micros kLongPollDuration = 8 * kSecond;
-constexpr Micros kPauseBetweenPolls = 60 * kMillisecond;  // gathers changes: the watch costs requests
+// Lets changes accumulate, since each poll of the watch counts against the request budget.
+constexpr Micros kPauseBetweenPolls = 60 * kMillisecond;
 constexpr Micros kMaxQueueTime = 3 * kSecond;
 constexpr Micros kMinCatchUpInterval = kSecond;
 constexpr Micros kCatchUpRetryDelay = 250 * kMillisecond;
@@ -27,8 +31,8 @@
   request_bucket_ = {s.state_rps * kRequestBudgetFraction / nodes,
                      s.state_rps * kRequestBudgetFraction / nodes,
                      s.state_rps * kRequestBudgetFraction / nodes, now};
-  // Changes come in bursts at one node: it may use more than its part, and a 429, which surely executed
-  // nothing, is tried again. Background writes wait until the bucket is well filled.
+  // Writes come in bursts at one node, so it may use more than its part of the write rate. A 429, which
+  // guarantees that nothing was executed, is retried. Background writes wait until the bucket is well filled.
   const double writes = s.state_write_rps * kWriteBudgetFraction;
   write_bucket_ = {writes, std::max(4.0, writes), std::max(4.0, writes), now};
 }
@@ -46,7 +50,7 @@
   request.queued_at = loop_.now();
   if (urgency == Urgency::now) {
     request_bucket_.tokens -= 1;
-    write_bucket_.tokens -= request.writes;  // what follows waits for it
+    write_bucket_.tokens -= request.writes;  // may become negative: queued requests wait for the refill
     send(std::move(request));
     return;
   }
@@ -65,10 +69,11 @@
       if (now - r.queued_at > kMaxQueueTime) {
         Request expired = std::move(r);
         queue.pop_front();
-        expired.done(429, "");  // surely not executed
+        expired.done(429, "");  // not executed: it was never sent, or refused with a 429
         continue;
       }
-      // Machines that come and move leave users' changes a part that is there at once.
+      // Writes for machines that join or move leave a reserve, so that writes a user waits for find tokens at
+      // once.
       const double reserved = &queue == &queues_[static_cast<std::size_t>(Urgency::accept)]
                                   ? 0
                                   : write_bucket_.capacity * kReservedFraction;
@@ -80,7 +85,8 @@
       write_bucket_.tokens -= r.writes;
       Request request = std::move(r);
       queue.pop_front();
-      // Once more if refused for the budget: nothing was executed.
+      // If the service refuses it for its rate limit (429), nothing was executed: it returns to the front of
+      // its queue until it has waited for kMaxQueueTime.
       auto retry = std::make_shared<Request>(request);
       request.done = [this, retry, &queue](int status, const std::string& body) {
         if (status != 429 || loop_.now() - retry->queued_at > kMaxQueueTime) return retry->done(status, body);
@@ -100,7 +106,7 @@
 }
 
 void Client::send(Request r) {
-  http_.request(r.method, endpoint_, r.path, r.body, r.deadline,
+  http_.request(r.method, endpoint_, r.path, r.body, r.timeout,
                 [this, sent = loop_.now(), done = std::move(r.done)](int status, const std::string& body) {
                   const Micros now = loop_.now();
                   if (status != 0 && latency_observer_) latency_observer_(now - sent);
@@ -158,11 +164,11 @@
                            try {
                              page = wire::parse_row_page(body);
                            } catch (const std::exception& e) {
-                             spdlog::error("state service: {}", e.what());
+                             spdlog::error("state service: malformed list response: {}", e.what());
                              return done(false, {}, 0);
                            }
-                           // Changes are followed from the first page on: later pages may be newer, which
-                           // replaying them mends.
+                           // The revision of the first page is the start for following changes. Later pages
+                           // may be newer; replaying the changes since the first page corrects that.
                            if (revision == 0) revision = page.revision;
                            for (auto& r : page.rows) rows_so_far.push_back(std::move(r));
                            if (!page.has_more || page.rows.empty())
@@ -181,7 +187,7 @@
             try {
               page = wire::parse_changes(body);
             } catch (const std::exception& e) {
-              spdlog::error("state service: {}", e.what());
+              spdlog::error("state service: malformed response to a read of changes: {}", e.what());
               return done(false, {}, 0);
             }
             if (is_stale(page, since)) return done(false, {}, 0);
@@ -228,7 +234,7 @@
          reloading_ = false;
          watch_revision_ = revision;
          watched_as_of_ = sent;
-         spdlog::info("state service: all {} keys under {} read in {:.2f} s, as of revision {} or later",
+         spdlog::info("state service: read all {} keys under {} in {:.2f} s, as of revision {} or later",
                       rows.size(), watch_prefix_, to_seconds(loop_.now() - sent), revision);
          watcher_.on_reload(std::move(rows), revision);
          poll_changes();
@@ -238,19 +244,19 @@
 bool Client::is_stale(const wire::RowPage& page, std::uint64_t since) {
   if (page.revision >= since) return false;
   ++stale_responses_;
-  spdlog::error("state service: answered as of revision {}, asked for changes after {}", page.revision,
-                since);
+  spdlog::error("state service: response as of revision {} is older than the requested revision {}",
+                page.revision, since);
   return true;
 }
 
-/// Rows in the order of their revisions, each once, whichever answer brought them. false: the answer is older
-/// than its question.
+/// Passes on each row once, in the order of revisions, although the responses to polls and to catch_up()
+/// overlap. Returns false if the response is older than the revision `since` that was asked for.
 bool Client::apply_changes(wire::RowPage page, std::uint64_t since, Micros sent) {
   if (is_stale(page, since)) return false;
   std::erase_if(page.rows, [this](const wire::Row& row) { return row.version <= watch_revision_; });
   watch_revision_ = std::max(watch_revision_, page.revision);
   watched_as_of_ = std::max(watched_as_of_, sent);
-  spdlog::debug("state service: {} changes up to revision {}, asked {:.2f} s ago", page.rows.size(),
+  spdlog::debug("state service: {} changes up to revision {}, requested {:.2f} s ago", page.rows.size(),
                 watch_revision_, to_seconds(loop_.now() - sent));
   if (!page.rows.empty()) watcher_.on_changes(std::move(page.rows));
   return true;
@@ -264,21 +270,23 @@
   const std::uint64_t since = watch_revision_;
   const std::string path =
       "/changes?under=" + watch_prefix_ + "&since=" + std::to_string(since) + "&holdMs=0";
-  // Counted from sending, as a lease's renewal, it is worth something for seconds.
+  // The result holds as of the time of sending, so like a lease renewal it is useful even if it comes seconds
+  // later.
   submit(Urgency::now, {net::Method::get, path, "", 0, kRenewalTimeout, 0,
                         [this, since, sent](int status, const std::string& body) {
-                          // Changes that are lost (410) make the watch read all keys.
+                          // After a 410 (changes lost) the watch itself reads all keys again.
                           if (status != 200) {
                             next_catch_up_at_ = std::min(next_catch_up_at_, loop_.now() + kCatchUpRetryDelay);
                             return;
                           }
-                          // Among the pages of a list, what is newer than the first would look older than it.
+                          // The pages of the list being read may be older than these changes, and would be
+                          // passed on after them.
                           if (reloading_) return;
                           try {
                             if (apply_changes(wire::parse_changes(body), since, sent))
                               watcher_.on_caught_up();
                           } catch (const std::exception& e) {
-                            spdlog::error("state service: {}", e.what());
+                            spdlog::error("state service: malformed catch-up response: {}", e.what());
                           }
                         }});
 }
@@ -288,23 +296,25 @@
   const std::string path = "/changes?under=" + watch_prefix_ + "&since=" + std::to_string(since) +
                            "&holdMs=" + std::to_string(kLongPollDuration / kMillisecond);
   request_bucket_.tokens -= 1;
-  // Not through send(): an open watch that waits says nothing of the service's health.
-  http_.request(net::Method::get, endpoint_, path, "", kLongPollDuration + 2 * kSecond,
-                [this, since, sent = loop_.now()](int status, const std::string& body) {
-                  if (status == 410) {
-                    spdlog::info("state service: changes after revision {} are lost, all keys are read again",
-                                 watch_revision_);
-                    return reload_all();
-                  }
-                  if (status != 200) return loop_.call_later(250 * kMillisecond, [this] { poll_changes(); });
-                  try {
-                    apply_changes(wire::parse_changes(body), since, sent);
-                  } catch (const std::exception& e) {
-                    spdlog::error("state service: watch: {}", e.what());
-                    return loop_.call_later(kSecond, [this] { reload_all(); });
-                  }
-                  loop_.call_later(kPauseBetweenPolls, [this] { poll_changes(); });
-                });
+  // Not through send(): a long poll that is held open says nothing about the health of the service.
+  http_.request(
+      net::Method::get, endpoint_, path, "", kLongPollDuration + 2 * kSecond,
+      [this, since, sent = loop_.now()](int status, const std::string& body) {
+        if (status == 410) {
+          spdlog::info(
+              "state service: changes after revision {} are no longer available, reading all keys again",
+              watch_revision_);
+          return reload_all();
+        }
+        if (status != 200) return loop_.call_later(250 * kMillisecond, [this] { poll_changes(); });
+        try {
+          apply_changes(wire::parse_changes(body), since, sent);
+        } catch (const std::exception& e) {
+          spdlog::error("state service: malformed watch response: {}", e.what());
+          return loop_.call_later(kSecond, [this] { reload_all(); });
+        }
+        loop_.call_later(kPauseBetweenPolls, [this] { poll_changes(); });
+      });
 }
 
 }  // namespace aspenwick::store
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -1,5 +1,5 @@
-// The client of the state service: request and write budgets (this node's part of them), guarded commits,
-// leases, and a watch that reads the keys again after a 410.
+// Client of the state service: keeps this node's requests and writes within the service's rate limits, and
+// offers guarded commits, reads, leases and a watch that reads all keys again after a 410.
 #pragma once
 #include <array>
 #include <deque>
@@ -13,11 +13,14 @@
 
 namespace aspenwick::store {
 
-/// Lease renewals go at once; the rest waits for the budget, in this order. `accept`: a user waits for it, or
-/// the next stage of a pipeline.
+/// Order in which requests are sent. `now` (leases and catch-ups) is sent at once, whatever the budget; the
+/// others wait in queues for the budget, served in this order. `accept`: a user, or the next stage of a
+/// pipeline, waits for the result.
 enum class Urgency : std::uint8_t { now, accept, user, read, background };
 
+/// Rates and amounts in requests, or in writes.
 struct TokenBucket {
+  /// `rate`: tokens per second. `tokens` is negative after requests that were sent without waiting.
   double rate = 1, capacity = 1, tokens = 1;
   Micros last_refill = 0;
   void refill(Micros now) {
@@ -32,59 +35,71 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// status as HTTP; 0: unknown whether executed. `revision`: of the commit, if 200.
+  // All callbacks get an HTTP status, or 0 if it is unknown whether the request was executed. 429: it was not
+  // executed, because the service refused it or it waited too long for the budget.
+
+  /// `revision`: the revision of the commit, if the status is 200; otherwise 0.
   using CommitCallback = std::function<void(int status, std::uint64_t revision)>;
   void commit(std::vector<wire::Guard> guards, std::vector<wire::Write> writes, Urgency urgency,
               CommitCallback done);
+  /// `row` is set if the status is 200.
   using GetCallback = std::function<void(int status, const wire::Row& row)>;
   void get(const std::string& key, Urgency urgency, GetCallback done);
+  /// `revision`: all changes up to it are contained in `rows`.
   using ListCallback = std::function<void(bool ok, std::vector<wire::Row> rows, std::uint64_t revision)>;
   void list(const std::string& prefix, ListCallback done);
-  /// All that changed under the prefix since a revision, up to a moment after the call: a fresh read of it.
+  /// Reads what changed under the prefix after revision `since`, up to some moment after the call. Fails if
+  /// the response is older than `since`.
   void changes(const std::string& prefix, std::uint64_t since, ListCallback done);
-  /// All changes up to here were told by the watch.
+  /// The watch has passed on all changes up to this revision.
   std::uint64_t watched_revision() const { return watch_revision_; }
-  /// All that was changed before this moment was told by the watch.
+  /// The watch has passed on all changes made before this time of the loop's clock.
   Micros watched_as_of() const { return watched_as_of_; }
 
+  /// Leases. Their requests are sent at once. `grant` passes the new lease's id.
   void grant(Micros duration, std::function<void(int status, std::uint64_t lease)> done);
   void renew(std::uint64_t lease, std::function<void(int status)> done);
   void revoke(std::uint64_t lease, std::function<void(int status)> done);
 
-  /// Reads all keys under the prefix, then follows their changes. After a 410 all is read again.
+  /// Callbacks of a watch.
   struct Watcher {
-    /// A list of many pages is no snapshot: it has all that was there at revision `as_of`, of its first page,
-    /// and is there still; of what came later, only some.
+    /// All keys were read, at first or after a 410. A list of several pages is no snapshot: it contains every
+    /// row that existed at revision `as_of` (that of its first page) and still exists, and some of the later
+    /// changes.
     std::function<void(std::vector<wire::Row> all, std::uint64_t as_of)> on_reload;
+    /// Changed rows in the order of their revisions.
     std::function<void(std::vector<wire::Row> changes)> on_changes;
-    /// What is known is as of a moment ago, whether or not there were changes.
+    /// A catch-up succeeded: what is known is current as of its sending, whether or not there were changes.
     std::function<void()> on_caught_up;
   };
+  /// Reads all keys under the prefix, then follows their changes. Reads all again after a 410. At most one
+  /// watch per client.
   void watch(const std::string& prefix, Watcher watcher);
 
-  /// Told how long each answered call took.
+  /// Called with the time that each answered request took, except for the watch's long polls.
   void set_latency_observer(std::function<void(Micros)> observer) { latency_observer_ = std::move(observer); }
 
-  /// Asks now for what the watch has yet to tell, beside it: told as the watch's changes are. At most once a
-  /// second, and not while all keys are read again.
+  /// Requests, beside the watch's long poll, the changes that the watch has not passed on yet; they reach the
+  /// watcher as usual. Sent at most once a second, and not while all keys are being read.
   void catch_up();
   std::uint64_t catch_up_count() const { return catch_up_count_; }
-  /// Answers that were older than what was known when they were asked for; left out.
+  /// Responses that were discarded because they were older than the revision that was asked for.
   std::uint64_t stale_responses() const { return stale_responses_; }
 
-  /// The service answered lately.
+  /// The last request succeeded, or was refused for another reason than an outage, within the last 4 s.
   bool reachable(Micros now) const;
-  /// So much waits already that one more would be late.
+  /// So many requests wait in the `accept` queue that a further one would be late.
   bool overloaded() const { return queue(Urgency::accept).size() > 30; }
   std::size_t max_txn_ops() const { return max_txn_ops_; }
+  /// The write budget allows background writes: the bucket is well filled and no user's request waits.
   bool has_spare_writes() const;
 
  private:
   struct Request {
     net::Method method;
     std::string path, body;
-    int writes;
-    Micros deadline, queued_at;
+    int writes;  // number of writes, for the write budget
+    Micros timeout, queued_at;
     net::ResponseCallback done;
   };
   void submit(Urgency urgency, Request request);
