--- a/src/wire/report.cpp
+++ b/src/wire/report.cpp
@@ -1,5 +1,5 @@
-// Workers' reports. They are most of what a node reads, so they go through simdjson's tape, which is used
-// again from report to report, and straight into the fields.
+// Parser for workers' reports. They are most of a node's input, so they are read from simdjson's tape, whose
+// memory is reused from one report to the next, directly into the fields.
 #include <simdjson.h>
 
 #include <algorithm>
@@ -59,7 +59,7 @@
   return static_cast<Enum>(it - names.begin());
 }
 
-/// "j-000412/3" -> job and index.
+/// Splits a task name such as "j-000412/3" into job and index.
 void parse_task_name(std::string_view s, TaskReport& t) {
   const auto slash = s.rfind('/');
   if (slash == std::string_view::npos || slash == 0 || slash + 1 == s.size())
@@ -70,7 +70,7 @@
   t.job = s.substr(0, slash);
 }
 
-/// Of the fields that must be there, which were: bit by bit.
+/// Tracks which required fields were present, one bit for each.
 struct RequiredFields {
   unsigned bits = 0;
   void mark_present(unsigned n) { bits |= 1U << n; }
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -6,7 +6,7 @@
 namespace aspenwick::wire {
 namespace {
 
-/// Walks the settings and names the whole path of a field that is missing or of the wrong type.
+/// Reads an object of the settings. Errors name the full path of a field that is missing or invalid.
 class Reader {
  public:
   Reader(const Json& j, std::string path) : j_(j), path_(std::move(path)) {
@@ -124,7 +124,8 @@
   s.max_value_bytes = static_cast<std::size_t>(state.number("value_kb", 1) * 1024);
   s.max_txn_ops = static_cast<std::size_t>(state.number("txn_ops", 2));
   if (state.has("next")) {
-    // Limits to come, without notice: the smaller of each is kept to from now on. What isn't said stays.
+    // Limits that will apply later, at a time that is not announced: obey the smaller of each pair from now
+    // on. A limit that is not listed stays as it is.
     const Reader next = state.object("next");
     if (next.has("rps")) s.state_rps = std::min(s.state_rps, next.number("rps", 1));
     if (next.has("write_rps")) s.state_write_rps = std::min(s.state_write_rps, next.number("write_rps", 1));
--- a/src/wire/time.h
+++ b/src/wire/time.h
@@ -1,10 +1,11 @@
+// The unit of time of the whole program, and conversions.
 #pragma once
 #include <cmath>
 #include <cstdint>
 
 namespace aspenwick {
 
-/// Times in the code are whole microseconds.
+/// Whole microseconds: a duration, or a time on the clock that the context names.
 using Micros = std::int64_t;
 
 inline constexpr Micros kMillisecond = 1'000;
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -38,7 +38,7 @@
   const Json& v = field(j, name);
   if (!v.is_number()) throw Malformed(std::string("not a number: ") + name);
   double d = v.get<double>();
-  // The upper bound keeps sums of the largest job inside 64 bits.
+  // The upper bound keeps the sums over the largest job within 64 bits.
   if (!std::isfinite(d) || d < 0 || d > 1e7) throw Malformed(std::string("out of range: ") + name);
   return d;
 }
@@ -99,8 +99,8 @@
 }
 
 namespace {
-/// A field that is there twice says two things: whoever reads the job elsewhere, as workers do, may take the
-/// other one.
+/// Parses an object and refuses duplicate fields: parsers differ in which of two values they take, and
+/// workers parse the job again.
 Json parse_unique_fields(const std::string& body) {
   std::set<std::string> names;
   std::string duplicate;
