--- a/src/net/connection_table.h
+++ b/src/net/connection_table.h
@@ -1,5 +1,6 @@
-// The connections that others have open to us, by who has them, within a bound: which to ask to close, and
-// which to close, before new ones would be refused. Socket-free.
+// The open connections to the HTTP server, by kind of client. Decides which clients to ask to close theirs
+// and which connections to close, before the limit is reached and new ones are refused. Does not use sockets
+// itself.
 #pragma once
 #include <cstddef>
 #include <list>
@@ -12,24 +13,26 @@
 
 class ConnectionTable {
  public:
-  /// What tells a connection from the others while it is open.
+  /// Identifies a connection while it is open.
   using Id = const void*;
   enum class ClientKind { worker, other };
 
-  /// `room` (over 0): as many may be open; beyond it nobody is sure to reach us, the load balancer's probes
-  /// included.
+  /// `capacity` (over 0): how many may be open. Beyond it new connections may fail for every client,
+  /// including the load balancer's health probes.
   explicit ConnectionTable(std::size_t capacity) : capacity_(capacity) {}
 
-  /// A request came on it.
+  /// A request arrived on the connection, from a client of this kind.
   void on_request(Id id, ClientKind kind);
-  /// The request was answered.
+  /// A response to one of its requests is being sent.
   void on_response(Id id);
   void on_close(Id id);
 
-  /// With its next answer: over three quarters of the room are taken, and it is not a machine's. Machines
-  /// report on theirs for good, users come back on another node.
+  /// Whether the next response should ask the client to close the connection: more than three quarters of the
+  /// capacity are in use and the client is not a worker. Workers report on their connection all the time;
+  /// other clients can connect again, to another node.
   bool should_close_on_response(Id id) const;
-  /// Beyond nine tenths of the room: those of others on which nothing is asked, the longest idle first.
+  /// The connections to close so that at most nine tenths of the capacity are in use: those of clients other
+  /// than workers that have no pending request, the longest idle first.
   std::vector<Id> idle_to_close() const;
 
   std::size_t open_count() const { return connections_.size(); }
@@ -39,12 +42,12 @@
  private:
   struct Connection {
     ClientKind kind;
-    int pending = 0;  // requests not answered yet
+    int pending = 0;  // requests without a response
     std::list<Id>::iterator position;
   };
   std::size_t capacity_, worker_count_ = 0;
   std::unordered_map<Id, Connection> connections_;
-  std::list<Id> by_last_request_;  // the longest unused first
+  std::list<Id> by_last_request_;  // the least recent first
 };
 
 }  // namespace aspenwick::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -12,7 +12,7 @@
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
   event_base* base = event_base_new_with_config(config);
   event_config_free(config);
-  if (!base) throw std::runtime_error("cannot make an event loop");
+  if (!base) throw std::runtime_error("cannot create the event loop");
   return base;
 }
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,4 @@
-// The loop on libevent. One thread; callbacks run in it, one after another.
+// Loop on libevent. All callbacks run one after another in the thread that calls run().
 #pragma once
 #include <event2/event.h>
 
@@ -11,7 +11,7 @@
 
 class EventLoop : public Loop {
  public:
-  EventLoop();  // throws std::runtime_error if libevent can't make one
+  EventLoop();  // throws std::runtime_error if libevent cannot create an event base
   ~EventLoop() override;
 
   Micros now() const override;
@@ -19,7 +19,7 @@
   void call_later(Micros delay, std::function<void()> callback) override;
   void call_every(Micros period, std::function<void()> callback) override;
 
-  /// Until nothing is left to wait for, or stop().
+  /// Returns when no event is left to wait for, or after stop().
   void run();
   void stop();
   event_base* base() { return base_.get(); }
--- a/src/net/exchange.h
+++ b/src/net/exchange.h
@@ -1,5 +1,5 @@
-// HTTP as the rest of a node sees it: requests that it answers, requests that it sends. net/http.h does both
-// over evhttp; tests and a simulated world bring their own.
+// Interfaces for HTTP: requests that a node answers and requests that it sends. net/http.h implements both
+// with evhttp; tests and the simulation have their own implementations.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,7 @@
 
 enum class Method : std::uint8_t { get, post, del, other };
 
-/// One request being answered. Must be answered exactly once, now or later.
+/// A received request and its response. Must be answered exactly once, at once or later.
 class Exchange {
  public:
   virtual ~Exchange() = default;
@@ -21,7 +21,7 @@
   Exchange& operator=(const Exchange&) = delete;
 
   virtual Method method() const = 0;
-  /// Without the query.
+  /// Without the query string.
   virtual std::string path() const = 0;
   virtual std::string body() const = 0;
 
@@ -37,17 +37,18 @@
   struct Answer {
     int status;
     const std::string& body;  // JSON
-    int retry_after_s;        // 0: none
-    std::string allow;        // empty: none
+    int retry_after_s;        // 0: no Retry-After header
+    std::string allow;        // empty: no Allow header
   };
   virtual void send(const Answer& answer) = 0;
 };
 using ExchangePtr = std::shared_ptr<Exchange>;
 
-/// status 0: no answer in time, or no connection: the request may have been executed, now or later.
+/// `status` 0: no response within the timeout, or no connection. The request may have been executed, or may
+/// be executed later.
 using ResponseCallback = std::function<void(int status, const std::string& body)>;
 
-/// Sends requests somewhere.
+/// Sends HTTP requests.
 class Requester {
  public:
   virtual ~Requester() = default;
@@ -55,7 +56,7 @@
   Requester(const Requester&) = delete;
   Requester& operator=(const Requester&) = delete;
 
-  /// `done` is called exactly once, at the latest when `timeout` has passed.
+  /// Calls `done` exactly once, at the latest when `timeout` has passed.
   virtual void request(Method method, const wire::Endpoint& to, const std::string& path,
                        const std::string& body, Micros timeout, ResponseCallback done) = 0;
 };
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -17,7 +17,8 @@
 
 timeval to_timeval(Micros t) { return {t / kSecond, static_cast<suseconds_t>(t % kSecond)}; }
 
-// Bodies over the protocol's limit get a 400, so that many bytes are read at most.
+// More than the protocol allows, so that a body that is too large can be read and answered with a 400. evhttp
+// reads at most this many bytes.
 constexpr ev_ssize_t kMaxReadBytes = 4 * 1024 * 1024;
 
 evhttp_cmd_type to_evhttp_command(Method m) {
@@ -26,7 +27,7 @@
 
 }  // namespace
 
-/// A request that came to the server; it tells the server when it is answered.
+/// A request received by the server. Reports its response to the connection table.
 class Server::IncomingRequest : public Exchange {
  public:
   IncomingRequest(evhttp_request* request, Server* server) : request_(request), server_(server) {}
@@ -55,7 +56,7 @@
     evhttp_add_header(headers, "Content-Type", "application/json");
     if (a.retry_after_s > 0)
       evhttp_add_header(headers, "Retry-After", std::to_string(a.retry_after_s).c_str());
-    // null: the connection is gone, and nobody hears us.
+    // Null if the connection is closed already.
     if (const auto* connection = evhttp_request_get_connection(request_)) {
       if (server_->connections_.should_close_on_response(connection))
         evhttp_add_header(headers, "Connection", "close");
@@ -153,7 +154,7 @@
       [](evutil_socket_t, short, void* arg) {
         auto* c = static_cast<Call*>(arg);
         if (c->connection) {
-          // The connection may still deliver: it is given up, and its late answer with it.
+          // A late response could still arrive on this connection, so it is closed instead of reused.
           evhttp_connection_free(c->connection);
           c->connection = nullptr;
           --c->pool->open_count;
@@ -178,7 +179,7 @@
     idle_.erase(p.idle.back());
     p.idle.pop_back();
   } else {
-    if (open_count_ >= max_total_) {  // may_start: some connection is idle
+    if (open_count_ >= max_total_) {  // then may_start() has found an idle connection, which is closed
       const Idle longest = idle_.front();
       std::erase(longest.pool->idle, idle_.begin());
       idle_.pop_front();
@@ -211,7 +212,7 @@
     evhttp_add_header(headers, "Content-Length", "0");
   }
   if (evhttp_make_request(call->connection, r, to_evhttp_command(call->method), call->path.c_str()) != 0) {
-    // The request was freed; no callback will come.
+    // evhttp has freed the request and will not call back. The timer, now due, ends the call.
     evhttp_connection* c = call->connection;
     call->connection = nullptr;
     --p.open_count, --open_count_;
@@ -221,7 +222,7 @@
   }
 }
 
-/// Freed from the loop: we may be inside one of its callbacks.
+/// Frees the connection from the event loop, since this may run inside one of its callbacks.
 void Client::close_connection(evhttp_connection* connection, Pool& p) {
   --p.open_count, --open_count_;
   event_base_once(
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-// HTTP over evhttp: a server, and a client with pooled connections and deadlines.
+// HTTP on evhttp: a server, and a client with pooled connections and timeouts.
 #pragma once
 #include <event2/event.h>
 #include <event2/http.h>
@@ -21,12 +21,12 @@
  public:
   using Handler = std::function<void(const ExchangePtr&)>;
   struct Limits {
-    std::size_t max_connections = 0;  // that others may have open to us
-    Micros idle_timeout = 0;          // one on which nothing is asked for so long is closed
-    /// By a request's path: it comes from a machine.
+    std::size_t max_connections = 0;  // from all clients
+    Micros idle_timeout = 0;          // a connection without requests for this long is closed
+    /// Whether requests with this path come from workers.
     std::function<bool(const std::string& path)> is_worker_path;
   };
-  /// Throws std::runtime_error if the address can't be listened on.
+  /// Throws std::runtime_error if it cannot listen on the address. `base` must outlive the server.
   Server(event_base* base, const wire::Endpoint& listen, Limits limits, Handler handler);
   ~Server();
   const ConnectionTable& connections() const { return connections_; }
@@ -46,8 +46,8 @@
 class Client : public Requester {
  public:
   static constexpr std::size_t kUnlimited = 1U << 30;
-  /// At most `max_per_endpoint` connections to each endpoint and `max_total` to all; what is asked beyond
-  /// waits. Of those that are idle the one that has idled longest makes way.
+  /// Opens at most `max_per_endpoint` connections to each endpoint and `max_total` to all; further requests
+  /// wait. If `max_total` is reached, the connection that has been idle longest is closed for a new one.
   explicit Client(event_base* base, std::size_t max_per_endpoint = 12, std::size_t max_total = kUnlimited);
   ~Client() override;
   void request(Method method, const wire::Endpoint& to, const std::string& path, const std::string& body,
@@ -71,8 +71,8 @@
   event_base* base_;
   std::size_t max_per_endpoint_, max_total_, open_count_ = 0;
   std::map<std::string, std::unique_ptr<Pool>> pools_;
-  std::list<Idle> idle_;                       // the longest idle first
-  std::deque<Pool*> pools_awaiting_capacity_;  // have calls that wait for room in all
+  std::list<Idle> idle_;                       // the least recently used first
+  std::deque<Pool*> pools_awaiting_capacity_;  // have calls that wait because of max_total_
   std::set<Call*> calls_;
 };
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// Time and timers as a node sees them. The service runs on libevent's (net/event_loop.h); tests and a
-// simulated world bring their own, so that nothing above this package knows what drives it.
+// Interface for clocks and timers. The service uses libevent's (net/event_loop.h); tests and the simulation
+// have their own implementations, so that code outside this package does not depend on the source of time.
 #pragma once
 #include <functional>
 
@@ -14,13 +14,13 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  /// Microseconds of a clock that never steps; what it counts from is not said.
+  /// Microseconds on a monotonic clock with an unspecified epoch.
   virtual Micros now() const = 0;
-  /// Microseconds since 1970 (UTC); may step.
+  /// Microseconds since 1970 (UTC) on the system clock, which may be adjusted.
   virtual Micros time_of_day() const = 0;
-  /// Calls `what` once, not before `delay` (0 or more) has passed and never from within this call.
+  /// Calls `callback` once, when at least `delay` (0 or more) has passed, and never from within this call.
   virtual void call_later(Micros delay, std::function<void()> callback) = 0;
-  /// Calls `what` each `period` (over 0), for as long as the loop lives.
+  /// Calls `callback` every `period` (over 0) for the lifetime of the loop.
   virtual void call_every(Micros period, std::function<void()> callback) = 0;
 };
 
--- a/src/net/retry.h
+++ b/src/net/retry.h
@@ -1,4 +1,4 @@
-// Trying again what may fail for a moment only.
+// Retries of operations that may fail for a short time.
 #pragma once
 #include <spdlog/spdlog.h>
 
@@ -10,9 +10,10 @@
 
 namespace aspenwick::net {
 
-/// What `make` returns. As long as it throws std::runtime_error it is called again after `pause`, at most
-/// `times` (over 0) in all; the last error is passed on. For a port that our former process, or what ends it,
-/// has not given up yet: to end for that would only make the platform start us once more.
+/// Returns the result of `operation`. While it throws std::runtime_error, it is called again after `pause`,
+/// at most `max_attempts` (over 0) times in all; the last error is passed on. The calling thread sleeps in
+/// between. Meant for listening on a port that a former process of this node, or whatever terminates it, has
+/// not released yet: if we exited because of that, the platform would only start us again.
 template <typename Operation>
 auto retry_on_error(Operation operation, int max_attempts, Micros pause) {
   for (int i = 1;; ++i) {
@@ -20,7 +21,7 @@
       return operation();
     } catch (const std::runtime_error& e) {
       if (i >= max_attempts) throw;
-      if (i == 1) spdlog::info("{}; trying again", e.what());
+      if (i == 1) spdlog::info("{}; retrying", e.what());
       std::this_thread::sleep_for(std::chrono::microseconds(pause));
     }
   }
