--- a/src/net/connection_table.cpp
+++ b/src/net/connection_table.cpp
@@ -4,15 +4,15 @@
 
 void ConnectionTable::on_request(Id id, ClientKind kind) {
   auto [it, added] = connections_.try_emplace(id, Connection{kind, 0, {}});
-  Connection& o = it->second;
+  Connection& connection = it->second;
   if (added)
-    o.position = by_last_request_.insert(by_last_request_.end(), id);
+    connection.position = by_last_request_.insert(by_last_request_.end(), id);
   else
-    by_last_request_.splice(by_last_request_.end(), by_last_request_, o.position);
-  if (!added && o.kind == ClientKind::worker) --worker_count_;
-  o.kind = kind;
+    by_last_request_.splice(by_last_request_.end(), by_last_request_, connection.position);
+  if (!added && connection.kind == ClientKind::worker) --worker_count_;
+  connection.kind = kind;
   if (kind == ClientKind::worker) ++worker_count_;
-  ++o.pending;
+  ++connection.pending;
 }
 
 void ConnectionTable::on_response(Id id) {
@@ -36,11 +36,11 @@
 
 std::vector<ConnectionTable::Id> ConnectionTable::idle_to_close() const {
   std::vector<Id> out;
-  const std::size_t most = capacity_ - capacity_ / 10;
+  const std::size_t max_open = capacity_ - capacity_ / 10;
   for (auto it = by_last_request_.begin();
-       it != by_last_request_.end() && connections_.size() - out.size() > most; ++it) {
-    const Connection& o = connections_.at(*it);
-    if (o.kind == ClientKind::other && o.pending == 0) out.push_back(*it);
+       it != by_last_request_.end() && connections_.size() - out.size() > max_open; ++it) {
+    const Connection& connection = connections_.at(*it);
+    if (connection.kind == ClientKind::other && connection.pending == 0) out.push_back(*it);
   }
   return out;
 }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -92,16 +92,17 @@
 Server::~Server() = default;
 
 void Server::on_request(evhttp_request* r) {
-  auto x = std::make_shared<IncomingRequest>(r, this);
+  auto exchange = std::make_shared<IncomingRequest>(r, this);
   evhttp_connection* connection = evhttp_request_get_connection(r);
-  connections_.on_request(connection, limits_.is_worker_path(x->path()) ? ConnectionTable::ClientKind::worker
-                                                                        : ConnectionTable::ClientKind::other);
+  connections_.on_request(connection, limits_.is_worker_path(exchange->path())
+                                          ? ConnectionTable::ClientKind::worker
+                                          : ConnectionTable::ClientKind::other);
   evhttp_connection_set_closecb(
       connection,
       [](evhttp_connection* c, void* self) { static_cast<Server*>(self)->connections_.on_close(c); }, this);
   for (const void* idle : connections_.idle_to_close())
     evhttp_connection_free(static_cast<evhttp_connection*>(const_cast<void*>(idle)));
-  handler_(x);
+  handler_(exchange);
 }
 
 struct Client::Call {
@@ -180,10 +181,10 @@
     p.idle.pop_back();
   } else {
     if (open_count_ >= max_total_) {  // then may_start() has found an idle connection, which is closed
-      const Idle longest = idle_.front();
-      std::erase(longest.pool->idle, idle_.begin());
+      const Idle longest_idle = idle_.front();
+      std::erase(longest_idle.pool->idle, idle_.begin());
       idle_.pop_front();
-      close_connection(longest.connection, *longest.pool);
+      close_connection(longest_idle.connection, *longest_idle.pool);
     }
     call->connection = evhttp_connection_base_new(base_, nullptr, p.to.host.c_str(), p.to.port);
     evhttp_connection_set_timeout(call->connection, 120);
@@ -194,12 +195,12 @@
         auto* c = static_cast<Call*>(arg);
         const int status = req ? evhttp_request_get_response_code(req) : 0;
         std::string body = status ? read_buffer(evhttp_request_get_input_buffer(req)) : std::string();
-        bool keep = status != 0;
-        if (keep) {
-          const char* h = evhttp_find_header(evhttp_request_get_input_headers(req), "Connection");
-          if (h && evutil_ascii_strcasecmp(h, "close") == 0) keep = false;
+        bool reusable = status != 0;
+        if (reusable) {
+          const char* header = evhttp_find_header(evhttp_request_get_input_headers(req), "Connection");
+          if (header && evutil_ascii_strcasecmp(header, "close") == 0) reusable = false;
         }
-        c->client->finish(c, status, body, keep);
+        c->client->finish(c, status, body, reusable);
       },
       call);
   evkeyvalq* headers = evhttp_request_get_output_headers(r);
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -173,8 +173,8 @@
                            for (auto& r : page.rows) rows_so_far.push_back(std::move(r));
                            if (!page.has_more || page.rows.empty())
                              return done(true, std::move(rows_so_far), revision);
-                           const std::string last = rows_so_far.back().key;
-                           list_page(prefix, last, std::move(rows_so_far), revision, std::move(done));
+                           const std::string last_key = rows_so_far.back().key;
+                           list_page(prefix, last_key, std::move(rows_so_far), revision, std::move(done));
                          }});
 }
 
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -163,10 +163,10 @@
   s.checkpoint_interval = from_seconds(number_field(j, "snapshotEveryS"));
   s.checkpoint_duration = from_seconds(number_field(j, "snapshotS"));
   if (optional_field(j, "dueS")) s.deadline = from_seconds(number_field(j, "dueS"));
-  if (const Json* needs = optional_field(j, "waitsOn")) {
-    if (!needs->is_array()) throw Malformed("not a list: waitsOn");
+  if (const Json* waits_on = optional_field(j, "waitsOn")) {
+    if (!waits_on->is_array()) throw Malformed("not a list: waitsOn");
     std::set<std::string> seen;
-    for (const Json& n : *needs) {
+    for (const Json& n : *waits_on) {
       if (!n.is_string() || !valid_job_id(n.get_ref<const std::string&>()))
         throw Malformed("bad entry: waitsOn");
       if (seen.insert(n.get<std::string>()).second) s.dependencies.push_back(n.get<std::string>());
@@ -176,16 +176,16 @@
 }
 
 Json job_to_json(const JobSpec& s) {
-  auto units = [](std::int64_t u) { return static_cast<double>(u) / 1e6; };
+  auto from_millionths = [](std::int64_t u) { return static_cast<double>(u) / 1e6; };
   Json j{{"nameId", s.id},
          {"jobclass", s.job_class},
          {"owner", s.team},
          {"shape", enum_name(s.shape, kShapeNames)},
          {"rank", enum_name(s.rank, kRankNames)},
          {"pieces", s.tasks},
-         {"vcpus", units(s.need.cpus)},
-         {"cards", units(s.need.gpus)},
-         {"ramGb", units(s.need.memory)},
+         {"vcpus", from_millionths(s.need.cpus)},
+         {"cards", from_millionths(s.need.gpus)},
+         {"ramGb", from_millionths(s.need.memory)},
          {"bundle", s.image},
          {"sizeGb", s.image_gb},
          {"together", s.one_zone},
