--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -105,6 +105,7 @@
   handler_(exchange);
 }
 
+/// A request that waits or is being sent. Owned by calls_ and deleted by finish().
 struct Client::Call {
   Client* client;
   Pool* pool;
@@ -115,6 +116,7 @@
   event* timer = nullptr;
 };
 
+/// The idle connections and the waiting requests of one endpoint. `open_count` includes busy connections.
 struct Client::Pool {
   wire::Endpoint to;
   std::vector<std::list<Idle>::iterator> idle;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -17,6 +17,7 @@
 
 namespace aspenwick::net {
 
+/// Keeps its connections within a limit, see ConnectionTable.
 class Server {
  public:
   using Handler = std::function<void(const ExchangePtr&)>;
@@ -43,6 +44,7 @@
   std::unique_ptr<evhttp, Deleter> http_;
 };
 
+/// A request that gets no response within its timeout closes its connection.
 class Client : public Requester {
  public:
   static constexpr std::size_t kUnlimited = 1U << 30;
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -29,6 +29,7 @@
   }
 };
 
+/// `loop` and `http` must outlive the client.
 class Client {
  public:
   Client(net::Loop& loop, net::Requester& http, const wire::PlatformSettings& settings);
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -27,11 +27,12 @@
   Micros time_limit = 0;
   double fraction = 0, factor = 1;
 };
-/// Another node of the cluster.
+/// Another node of the cluster. `peer_endpoint` is for connections between nodes.
 struct Sibling {
   std::string name, zone;
   Endpoint peer_endpoint;
 };
+/// Only the fields that we use. Times are durations; unknown fields are ignored.
 struct PlatformSettings {
   std::string name, zone;
   Endpoint listen, peer_listen, cloud, state;
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -154,6 +154,7 @@
 std::vector<MachineType> machine_types_from_json(const Json& j);
 Json machine_types_to_json(const std::vector<MachineType>& types);
 
+/// A rented machine in the cloud's list.
 struct CloudMachine {
   std::string id, address, type, zone, state;
   bool spot = false;
