--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -32,7 +32,7 @@
   std::string name, zone;
   Endpoint peer_endpoint;
 };
-/// Only the fields that we use. Times are durations; unknown fields are ignored.
+/// Times are durations. Fields that are not listed here are ignored.
 struct PlatformSettings {
   std::string name, zone;
   Endpoint listen, peer_listen, cloud, state;
