--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -286,7 +286,8 @@
                             if (apply_changes(wire::parse_changes(body), since, sent))
                               watcher_.on_caught_up();
                           } catch (const std::exception& e) {
-                            spdlog::error("state service: malformed catch-up response: {}", e.what());
+                            spdlog::error("state service: cannot process the catch-up response: {}",
+                                          e.what());
                           }
                         }});
 }
@@ -310,7 +311,7 @@
         try {
           apply_changes(wire::parse_changes(body), since, sent);
         } catch (const std::exception& e) {
-          spdlog::error("state service: malformed watch response: {}", e.what());
+          spdlog::error("state service: cannot process the watch response: {}", e.what());
           return loop_.call_later(kSecond, [this] { reload_all(); });
         }
         loop_.call_later(kPauseBetweenPolls, [this] { poll_changes(); });
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -15,7 +15,7 @@
 
 /// The lines of a kept file: a name, and the rest of its line.
 std::vector<std::pair<std::string, std::string>> kept(const std::string& file) {
-  std::ifstream in(std::string(KEPT) + "/" + file);
+  std::ifstream in(std::string(PRODUCTION_DATA_DIR) + "/" + file);
   std::vector<std::pair<std::string, std::string>> out;
   for (std::string line; std::getline(in, line);)
     if (const auto space = line.find(' '); !line.empty() && line[0] != '#')
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -375,7 +375,7 @@
 class Trace : public ::testing::TestWithParam<std::string> {};
 
 TEST_P(Trace, GoesAsKept) {
-  const std::string path = std::string(TRACES) + "/" + GetParam();
+  const std::string path = std::string(TRACE_DIR) + "/" + GetParam();
   std::ifstream in(path);
   ASSERT_TRUE(in) << path;
   Player player;
@@ -396,7 +396,7 @@
 
 std::vector<std::string> traces() {
   std::vector<std::string> out;
-  for (const auto& e : std::filesystem::directory_iterator(TRACES))
+  for (const auto& e : std::filesystem::directory_iterator(TRACE_DIR))
     out.push_back(e.path().filename().string());
   std::sort(out.begin(), out.end());
   return out;
