--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -37,7 +37,7 @@
 Controller::Controller(const wire::PlatformSettings& platform, const OperatorSettings& operator_settings,
                        Dependencies dependencies)
     : loop_(dependencies.loop),
-      report_interval_(platform.report),
+      report_interval_(platform.report_interval),
       store_(loop_, dependencies.http, platform),
       records_(platform, {loop_, store_,
                           [this](const std::string& id, const job::JobRecord& record) {
@@ -72,7 +72,7 @@
            },
            [this](const std::string& m) { leader_.machine_registered(m); },
            [this](int share) { return peer_service_.reported_owner(share); }, [this] { schedule_tick(); }}) {
-  store_.observe([this](Micros took) { state_call_times_.record(took); });
+  store_.set_latency_observer([this](Micros took) { state_call_times_.record(took); });
   store_.watch(kSharedPrefix, {[this](const std::vector<wire::Row>& rows, std::uint64_t as_of) {
                                  on_watch_reset(rows, as_of);
                                },
@@ -81,14 +81,14 @@
                                  owned_shares_.on_records_refreshed();
                                  schedule_tick();
                                }});
-  loop_.every(kTickInterval, [this] { tick(); });
+  loop_.call_every(kTickInterval, [this] { tick(); });
   owned_shares_.find_former_lease();
-  loop_.every(kGossipInterval, [this] { peer_service_.send_gossip(); });
-  loop_.every(kHeartbeatInterval, [this] { peer_service_.send_heartbeats(); });
-  loop_.every(kLeaderInterval, [this] { run_leader(); });
-  loop_.every(kOwnershipInterval, [this] { owned_shares_.tick(); });
-  loop_.every(kReplanInterval, [this] { replan_jobs(); });
-  loop_.every(kMetricsInterval, [this] { log_metrics(); });
+  loop_.call_every(kGossipInterval, [this] { peer_service_.send_gossip(); });
+  loop_.call_every(kHeartbeatInterval, [this] { peer_service_.send_heartbeats(); });
+  loop_.call_every(kLeaderInterval, [this] { run_leader(); });
+  loop_.call_every(kOwnershipInterval, [this] { owned_shares_.tick(); });
+  loop_.call_every(kReplanInterval, [this] { replan_jobs(); });
+  loop_.call_every(kMetricsInterval, [this] { log_metrics(); });
 }
 
 // ---------------------------------------------------------------- requests and frames
@@ -98,9 +98,10 @@
   const bool get = exchange->method() == Method::get, post = exchange->method() == Method::post;
   static const std::string kJobsPath = "/v1/jobs";
   if (path == kReportPath)
-    return post ? worker_api_.handle_report(exchange) : exchange->refuse_method("POST");
-  if (path == "/ready") return get ? handle_ready(exchange) : exchange->refuse_method("GET");
-  if (path == kJobsPath) return post ? job_api_.submit(exchange) : exchange->refuse_method("POST");
+    return post ? worker_api_.handle_report(exchange) : exchange->respond_method_not_allowed("POST");
+  if (path == "/ready") return get ? handle_ready(exchange) : exchange->respond_method_not_allowed("GET");
+  if (path == kJobsPath)
+    return post ? job_api_.submit(exchange) : exchange->respond_method_not_allowed("POST");
   if (path.starts_with(kJobsPath + "/")) {
     std::string id = path.substr(kJobsPath.size() + 1);
     static const std::string kCancelSuffix = "/withdraw";
@@ -108,7 +109,7 @@
     if (to_cancel) id.resize(id.size() - kCancelSuffix.size());
     if (id.find('/') != std::string::npos || id.empty())
       return exchange->answer(404, wire::error_body("no such path"));
-    if (to_cancel ? !post : !get) return exchange->refuse_method(to_cancel ? "POST" : "GET");
+    if (to_cancel ? !post : !get) return exchange->respond_method_not_allowed(to_cancel ? "POST" : "GET");
     if (!wire::valid_job_id(id)) return exchange->answer(404, wire::error_body("no such job"));
     return to_cancel ? job_api_.cancel(exchange, id) : job_api_.status(exchange, id);
   }
@@ -172,7 +173,7 @@
 void Controller::schedule_tick() {
   if (tick_scheduled_) return;
   tick_scheduled_ = true;
-  loop_.later(kScheduledTickDelay, [this] { tick(); });
+  loop_.call_later(kScheduledTickDelay, [this] { tick(); });
 }
 
 void Controller::tick() {
@@ -274,7 +275,7 @@
   spdlog::info(
       "metrics: records as of {:.3f} s ago, {} catch-ups, {} old answers of the state service, "
       "{} plans of the leader refused",
-      to_seconds(loop_.now() - records_.records_as_of()), store_.catch_ups(), store_.old_answers(),
+      to_seconds(loop_.now() - records_.records_as_of()), store_.catch_up_count(), store_.stale_responses(),
       leader_runs_refused_);
   spdlog::info("metrics: reports {} users {} jobs {} machines {} shares {}{}", worker_api_.report_count(),
                job_api_.request_count(), records_.jobs().size(), records_.machines().size(),
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -84,8 +84,8 @@
     return exchange->answer(200, wire::status_body(id, JobStatus::cancelled));
   if (deps_.loop.now() >= until)
     return answer_retry(exchange, "the owner of the job's share may not know of the cancellation yet");
-  deps_.loop.later(kConfirmPollInterval,
-                   [this, exchange, id, until] { confirm_cancellation(exchange, id, until); });
+  deps_.loop.call_later(kConfirmPollInterval,
+                        [this, exchange, id, until] { confirm_cancellation(exchange, id, until); });
 }
 
 /// No submission is rejected for good before the state service has confirmed that its id does not exist. It
@@ -122,7 +122,7 @@
   if (const auto reason = job::unschedulable_reason(spec, deps_.records.types(), platform_.teams);
       !reason.empty())
     return reject(exchange, 422, spec.id, reason);
-  if (deps_.store.crowded())
+  if (deps_.store.overloaded())
     return exchange->answer(429, wire::error_body("too many requests are waiting for the state service"), 2);
   job::keep_usable_types(spec, deps_.records.types());
   submission->record.spec = std::make_shared<const wire::JobSpec>(std::move(spec));
@@ -134,7 +134,7 @@
 /// another node, so only the answer of the state service counts.
 void JobApi::check_needed_jobs(const std::shared_ptr<Submission>& submission) {
   static const std::string kNeedsServiceError = "a job cannot need a service, which is never done";
-  const auto& needs = submission->record.spec->needs;
+  const auto& needs = submission->record.spec->dependencies;
   for (; submission->next_needed_job < needs.size(); ++submission->next_needed_job) {
     const std::string& id = needs[submission->next_needed_job];
     if (const auto* known = deps_.records.job(id)) {
@@ -171,7 +171,7 @@
   // incarnation keeps tags of a former process of this node apart: the time of day may have stepped back
   // since, and a late deletion of parts of one of its attempts may still be executed.
   submission->tag = platform_.name + "-" + std::to_string(incarnation_) + "-" + std::to_string(++last_tag_);
-  submission->rows = job::record_to_rows(submission->record, platform_.value_room(), submission->tag);
+  submission->rows = job::record_to_rows(submission->record, platform_.value_size_limit(), submission->tag);
   submission->record.parts = static_cast<std::uint32_t>(submission->rows.parts.size());
   submission->record.parts_tag = submission->tag;
   write_record(submission);
@@ -184,7 +184,7 @@
   std::vector<wire::Guard> guards;
   std::vector<wire::Write> writes;
   std::size_t bytes = 0;
-  for (; submission->next_part < submission->rows.parts.size() && writes.size() < deps_.store.txn_ops();
+  for (; submission->next_part < submission->rows.parts.size() && writes.size() < deps_.store.max_txn_ops();
        ++submission->next_part) {
     const std::string& part = submission->rows.parts[submission->next_part];
     if (!writes.empty() && bytes + part.size() > kMaxTransactionBytes) break;
@@ -277,7 +277,7 @@
     const std::uint32_t request = ++last_status_request_;
     if (deps_.peers.send(key->node, share::StatusRequest{request, id})) {
       pending_status_[request] = {exchange, id};
-      deps_.loop.later(kPeerAnswerTimeout, [this, request] {
+      deps_.loop.call_later(kPeerAnswerTimeout, [this, request] {
         auto pending = pending_status_.find(request);
         if (pending == pending_status_.end()) return;
         const PendingStatus pending_status = std::move(pending->second);
@@ -320,7 +320,7 @@
         // changed.
         deps_.store.commit(
             {{kJobPrefix + id, row.version}},
-            {{kJobPrefix + id, job::cancelled_record_json(record, platform_.value_room()), {}, false}},
+            {{kJobPrefix + id, job::cancelled_record_json(record, platform_.value_size_limit()), {}, false}},
             store::Urgency::accept,
             [this, exchange, id, tries, record](int commit_status, std::uint64_t revision) mutable {
               if (commit_status == 409) return cancel(exchange, id, tries - 1);
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -63,7 +63,7 @@
                        fetching_types_ = false;
                        if (code != 200) return;
                        try {
-                         const auto types = wire::parse_types(body);
+                         const auto types = wire::parse_machine_types(body);
                          if (provisioner_) provisioner_->set_spot_prices(types);
                          if (types_.empty() && !types.empty()) deps_.types_fetched(types);
                        } catch (const std::exception& e) {
@@ -83,9 +83,9 @@
                        listing_ = false;
                        if (code != 200 || !provisioner_) return;
                        try {
-                         auto page = wire::parse_cloud_page(body);
+                         auto page = wire::parse_cloud_machine_page(body);
                          machines->insert(machines->end(), page.machines.begin(), page.machines.end());
-                         if (page.more && !page.machines.empty())
+                         if (page.has_more && !page.machines.empty())
                            return list_machines(machines->back().id, machines);
                          provisioner_->listed(*machines, machines_, deps_.now());
                        } catch (const std::exception& e) {
@@ -98,25 +98,26 @@
   if (call_budget_ < 1) return provisioner_->rented(rent, 429, {}, deps_.now() - 3600 * kSecond);
   call_budget_ -= 1;
   const std::string request = request_names_.next(epoch_);
-  deps_.http.request(net::Method::post, platform_.cloud, "/rentals",
-                     wire::rental_body(request, types_[rent.type].name, rent.zone, rent.spot, rent.count),
-                     kCloudTimeout, [this, epoch = epoch_, rent](int code, const std::string& body) {
-                       if (!provisioner_ || epoch_ != epoch) return;
-                       std::vector<std::string> ids;
-                       if (code == 200) try {
-                           ids = wire::parse_rented(body);
-                         } catch (const std::exception& e) {
-                           spdlog::error("cannot read the answer of the cloud: {}", e.what());
-                         }
-                       provisioner_->rented(rent, code, ids, deps_.now());
-                     });
+  deps_.http.request(
+      net::Method::post, platform_.cloud, "/rentals",
+      wire::rental_request_body(request, types_[rent.type].name, rent.zone, rent.spot, rent.count),
+      kCloudTimeout, [this, epoch = epoch_, rent](int code, const std::string& body) {
+        if (!provisioner_ || epoch_ != epoch) return;
+        std::vector<std::string> ids;
+        if (code == 200) try {
+            ids = wire::parse_rented_ids(body);
+          } catch (const std::exception& e) {
+            spdlog::error("cannot read the answer of the cloud: {}", e.what());
+          }
+        provisioner_->rented(rent, code, ids, deps_.now());
+      });
 }
 
 void Leader::delete_machines(const fleet::DeleteMachines& deletion) {
   if (call_budget_ < 1) return provisioner_->deleted(deletion.machines, false, deps_.now());
   call_budget_ -= 1;
   deps_.http.request(net::Method::post, platform_.cloud, "/rentals/delete",
-                     wire::rental_delete_body(deletion.machines), kCloudTimeout,
+                     wire::rental_delete_request_body(deletion.machines), kCloudTimeout,
                      [this, epoch = epoch_, ids = deletion.machines](int code, const std::string&) {
                        if (!provisioner_ || epoch_ != epoch || code != 200) return;
                        provisioner_->deleted(ids, true, deps_.now());
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -15,7 +15,7 @@
 #include "app/socket_budget.h"
 #include "net/event_loop.h"
 #include "net/http.h"
-#include "net/patience.h"
+#include "net/retry.h"
 #include "share/ownership.h"
 #include "share/peer_link.h"
 
@@ -55,7 +55,7 @@
   net::Client workers(loop.base(), kConnectionsPerWorker, budget.max_pushes);
   std::unique_ptr<app::Controller> controller;
   // Both ports are bound first: while this process holds them, no former process of this node is alive.
-  const auto peers = net::patiently(
+  const auto peers = net::retry_on_error(
       [&] {
         return std::make_unique<share::PeerLink>(
             loop.base(), platform, [&](const share::Frame& f, const share::PeerTransport::Reply& reply) {
@@ -63,11 +63,11 @@
             });
       },
       kBindAttempts, kBindRetryDelay);
-  const auto server = net::patiently(
+  const auto server = net::retry_on_error(
       [&] {
         return std::make_unique<net::Server>(
             loop.base(), platform.listen,
-            net::Server::Limits{budget.max_callers, std::max(kIdleTimeout, 5 * platform.report),
+            net::Server::Limits{budget.max_callers, std::max(kIdleTimeout, 5 * platform.report_interval),
                                 [](const std::string& path) { return path == app::kReportPath; }},
             [&](const net::ExchangePtr& exchange) { controller->handle_request(exchange); });
       },
@@ -76,13 +76,13 @@
   const std::uint64_t incarnation = (std::uint64_t{random()} << 32 | random()) | 1;  // not 0
   controller = std::make_unique<app::Controller>(
       platform, operator_settings, app::Controller::Dependencies{loop, http, workers, *peers, incarnation});
-  loop.every(kSocketMetricsInterval, [&] {
+  loop.call_every(kSocketMetricsInterval, [&] {
     const auto& open = server->connections();
     spdlog::info("metrics: sockets: workers in {}, others in {} of {}, pushes out {} of {}, services out {}",
-                 open.machines(), open.open() - open.machines(), open.room(), workers.open(),
-                 budget.max_pushes, http.open());
+                 open.worker_count(), open.open_count() - open.worker_count(), open.capacity(),
+                 workers.open_count(), budget.max_pushes, http.open_count());
   });
-  spdlog::info("{} listening on {}", platform.name, platform.listen.text());
+  spdlog::info("{} listening on {}", platform.name, platform.listen.to_string());
   loop.run();
 }
 
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -80,7 +80,7 @@
   if (lease == ownership_.lease() || !revoking_.insert(lease).second) return;
   deps_.store.revoke(lease, [this, lease](int code) {
     if (code == 200 || code == 404) return;
-    deps_.loop.later(kRevokeRetryDelay, [this, lease] {
+    deps_.loop.call_later(kRevokeRetryDelay, [this, lease] {
       revoking_.erase(lease);
       revoke_former_lease(lease);
     });
@@ -92,7 +92,7 @@
                   [this](int code, const wire::Row& row) {
                     if (code == 404 || records().synced()) return;
                     if (code != 200)
-                      return deps_.loop.later(kRevokeRetryDelay, [this] { find_former_lease(); });
+                      return deps_.loop.call_later(kRevokeRetryDelay, [this] { find_former_lease(); });
                     try {
                       revoke_former_lease(row.value.at("lease").get<std::uint64_t>());
                     } catch (const std::exception& e) {
@@ -202,8 +202,8 @@
         OwnedShare* owned = find(share, generation);
         if (!owned) return;
         if (!ok)
-          return deps_.loop.later(kLoadRetryDelay,
-                                  [this, share, generation] { load_progress(share, generation); });
+          return deps_.loop.call_later(kLoadRetryDelay,
+                                       [this, share, generation] { load_progress(share, generation); });
         std::vector<std::string> obsolete_keys;
         for (const auto& r : rows) {
           const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -69,8 +69,8 @@
               [this, share](int code) {
                 if (code == 200) spdlog::info("share {}: acquired", share);
                 // The watch brings the new key; until then no further attempt is made.
-                deps_.loop.later(code == 200 ? kSecond : 150 * kMillisecond,
-                                 [this, share] { acquiring_.erase(share); });
+                deps_.loop.call_later(code == 200 ? kSecond : 150 * kMillisecond,
+                                      [this, share] { acquiring_.erase(share); });
               });
 }
 
@@ -78,7 +78,8 @@
   if (acquiring_leadership_) return;
   acquiring_leadership_ = true;
   acquire_key(kLeaderKey, kEpochCounterPrefix + "leader", [this](int code) {
-    deps_.loop.later(code == 200 ? kSecond : 200 * kMillisecond, [this] { acquiring_leadership_ = false; });
+    deps_.loop.call_later(code == 200 ? kSecond : 200 * kMillisecond,
+                          [this] { acquiring_leadership_ = false; });
   });
 }
 
@@ -111,7 +112,7 @@
                          current->handing_back = false;
                          return;
                        }
-                       deps_.loop.later(kHandBackRetryDelay, [this, share, generation, version] {
+                       deps_.loop.call_later(kHandBackRetryDelay, [this, share, generation, version] {
                          remove_owner_key(share, generation, version, true);
                        });
                      });
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -15,7 +15,7 @@
 share::PeerState PeerService::own_state() const {
   const auto& ownership = deps_.owned_shares.ownership();
   const Micros now = deps_.loop.now();
-  return {ownership.reports_state_service_reachable(deps_.store.ok(now), now),
+  return {ownership.reports_state_service_reachable(deps_.store.reachable(now), now),
           deps_.records.synced(),
           ownership.lease().value_or(0),
           now,
@@ -94,7 +94,7 @@
 std::vector<std::string> PeerService::possible_owners(const std::string& job, std::uint64_t revision) const {
   const auto& ownership = deps_.owned_shares.ownership();
   const auto* record = deps_.records.job(job);
-  const bool keys_known = revision != 0 && deps_.store.watched() >= revision;
+  const bool keys_known = revision != 0 && deps_.store.watched_revision() >= revision;
   if (keys_known && record && record->spec) {
     const OwnerKey* key = ownership.owner(ownership.share_of_team(record->spec->team));
     if (!key || key->node == platform_.name) return {};
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -177,7 +177,7 @@
   std::vector<wire::Write> writes;
   for (std::size_t i = 0; i < keys.size(); ++i) {
     writes.push_back({std::move(keys[i]), nullptr, {}, true});
-    if (writes.size() < deps_.store.txn_ops() && i + 1 < keys.size()) continue;
+    if (writes.size() < deps_.store.max_txn_ops() && i + 1 < keys.size()) continue;
     deps_.store.commit({}, std::exchange(writes, {}), store::Urgency::background, [](int, std::uint64_t) {});
   }
 }
@@ -210,13 +210,13 @@
   if (refreshing_) return;
   refreshing_ = true;
   // Requests within this delay share a read, which bounds the number of reads a second.
-  deps_.loop.later(kRefreshBatchDelay, [this] { send_refresh(); });
+  deps_.loop.call_later(kRefreshBatchDelay, [this] { send_refresh(); });
 }
 
 void Records::send_refresh() {
   auto callbacks =
       std::make_shared<std::vector<std::function<void(bool)>>>(std::exchange(refresh_callbacks_, {}));
-  const std::uint64_t since = std::max(refreshed_revision_, deps_.store.watched());
+  const std::uint64_t since = std::max(refreshed_revision_, deps_.store.watched_revision());
   const Micros sent = deps_.loop.now();
   deps_.store.changes(
       kJobPrefix, since,
@@ -231,7 +231,7 @@
         }
         for (const auto& f : *callbacks) f(ok);
         refreshing_ = !refresh_callbacks_.empty();
-        if (refreshing_) deps_.loop.later(kRefreshBatchDelay, [this] { send_refresh(); });
+        if (refreshing_) deps_.loop.call_later(kRefreshBatchDelay, [this] { send_refresh(); });
       });
 }
 
@@ -245,7 +245,7 @@
       {{kNodePrefix + platform_.name, it == format_rows_.end() ? 0 : it->second.second}},
       {{kNodePrefix + platform_.name, {{"lease", lease}, {"reads", kFormatVersion}}, lease, false}},
       store::Urgency::background,
-      [this](int, std::uint64_t) { deps_.loop.later(kSecond, [this] { announcing_ = false; }); });
+      [this](int, std::uint64_t) { deps_.loop.call_later(kSecond, [this] { announcing_ = false; }); });
 }
 
 /// Machine types that do not fit into one value are spread over several rows. Indices must mean the same to
@@ -253,16 +253,16 @@
 void Records::read_types(const wire::Row& row) {
   if (!types_.empty()) return;
   if (row.key == kTypesKey) {
-    types_ = wire::types_from_json(row.value);
+    types_ = wire::machine_types_from_json(row.value);
     return;
   }
-  partial_types_[std::stoul(row.key.substr(kTypesKey.size() + 1))] = wire::types_from_json(row.value);
+  partial_types_[std::stoul(row.key.substr(kTypesKey.size() + 1))] = wire::machine_types_from_json(row.value);
   if (partial_types_.size() < row.value.at("rows").get<std::size_t>()) return;
   for (const auto& [n, types] : partial_types_) types_.insert(types_.end(), types.begin(), types.end());
 }
 
 void Records::write_types(const std::vector<wire::MachineType>& types) {
-  const auto rows = job::types_to_rows(types, platform_.value_room());
+  const auto rows = job::types_to_rows(types, platform_.value_size_limit());
   if (rows.size() == 1)
     return deps_.store.commit({{kTypesKey, 0}}, {{kTypesKey, rows[0], {}, false}}, store::Urgency::user,
                               [](int, std::uint64_t) {});
@@ -287,7 +287,7 @@
     if (it == machines_.end()) continue;
     guards.push_back({kMachinePrefix + id, it->second.version});
     writes.push_back({kMachinePrefix + id, nullptr, {}, true});
-    if (writes.size() >= std::min(kMaxDeletesPerCommit, deps_.store.txn_ops())) flush();
+    if (writes.size() >= std::min(kMaxDeletesPerCommit, deps_.store.max_txn_ops())) flush();
   }
   flush();
 }
--- a/src/app/records.h
+++ b/src/app/records.h
@@ -86,7 +86,7 @@
   void refresh_jobs(std::function<void(bool)> then);
   /// The revision up to which all job records are known; 0 before the first full read.
   std::uint64_t read_revision() const {
-    return synced_ ? std::max(deps_.store.watched(), refreshed_revision_) : 0;
+    return synced_ ? std::max(deps_.store.watched_revision(), refreshed_revision_) : 0;
   }
   /// Time as of which all job records are known, at least.
   Micros records_as_of() const { return std::max(deps_.store.watched_as_of(), refreshed_as_of_); }
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -48,12 +48,12 @@
   progress_budget_ =
       std::min(std::max(2.0, 2 * rate), progress_budget_ + to_seconds(now - last_progress_write_) * rate);
   last_progress_write_ = now;
-  if (progress_budget_ < 1 || !deps_.store.writes_spare()) return;
+  if (progress_budget_ < 1 || !deps_.store.has_spare_writes()) return;
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     if (!deps_.owned_shares.may_commit(owned)) continue;
     const auto max_rows = static_cast<std::size_t>(std::max(0.0, progress_budget_));
     const auto writes = owned.controller->take_done_writes(
-        std::min({deps_.store.txn_ops(), kMaxProgressRowsPerCommit, max_rows}), now);
+        std::min({deps_.store.max_txn_ops(), kMaxProgressRowsPerCommit, max_rows}), now);
     progress_budget_ -= static_cast<double>(writes.size());
     if (writes.empty()) continue;
     std::vector<wire::Guard> guards{{owner_key(share), owned.key_version}};
@@ -139,7 +139,7 @@
   std::vector<std::string> remaining_keys;
   for (const auto& name : owned.controller->done_row_keys(id)) {
     const std::string key = kProgressPrefix + std::to_string(share) + "/" + name;
-    if (writes.size() < deps_.store.txn_ops())
+    if (writes.size() < deps_.store.max_txn_ops())
       writes.push_back({key, nullptr, {}, true});
     else
       remaining_keys.push_back(key);
@@ -158,7 +158,7 @@
           deps_.schedule_tick();  // jobs that waited for it can start at once
           return;
         }
-        deps_.loop.later(kFinishRetryDelay, [this, share, generation, id] {
+        deps_.loop.call_later(kFinishRetryDelay, [this, share, generation, id] {
           if (auto* current = deps_.owned_shares.find(share, generation))
             current->controller->set_committing(id, false);
         });
@@ -168,7 +168,7 @@
 /// Users are told at once that jobs which need a cancelled job are cancelled too. Their records follow here,
 /// in batches, written by the owner of their share.
 void ResultWriter::cancel_dependents() {
-  if (cancelling_ || deps_.records.graph().to_cancel().empty() || !deps_.store.writes_spare()) return;
+  if (cancelling_ || deps_.records.graph().to_cancel().empty() || !deps_.store.has_spare_writes()) return;
   for (auto& [share, owned] : deps_.owned_shares.all())
     if (deps_.owned_shares.may_commit(owned) && cancel_dependents(share, owned)) return;
 }
@@ -182,9 +182,10 @@
     if (!j || j->final() || !j->spec) continue;
     if (deps_.owned_shares.ownership().share_of_team(j->spec->team) != share) continue;
     guards.push_back({kJobPrefix + id, j->version});
-    writes.push_back({kJobPrefix + id, job::cancelled_record_json(*j, platform_.value_room()), {}, false});
+    writes.push_back(
+        {kJobPrefix + id, job::cancelled_record_json(*j, platform_.value_size_limit()), {}, false});
     ids.push_back(id);
-    if (ids.size() >= std::min(deps_.store.txn_ops(), cancel_batch_)) break;
+    if (ids.size() >= std::min(deps_.store.max_txn_ops(), cancel_batch_)) break;
   }
   if (ids.empty()) return false;
   cancelling_ = true;
@@ -253,21 +254,22 @@
   const auto urgency = m.share >= 0 ? store::Urgency::user : store::Urgency::background;
   std::vector<wire::Guard> guards{{kMachinePrefix + id, m.version}, {owner_key(from), key_version}};
   std::vector<wire::Write> writes{{kMachinePrefix + id, share::machine_to_json(m), {}, false}};
-  deps_.store.commit(std::move(guards), std::move(writes), urgency,
-                     [this, m = std::move(m), from, generation, key_version, maybe_executed](
-                         int code, std::uint64_t) mutable {
-                       const bool maybe_moved = code == 0 || code == 409 || maybe_executed;
-                       deps_.loop.later(code != 200 && maybe_moved ? kMoveUnknownRetryDelay : kMoveRetryDelay,
-                                        [this, m = std::move(m), from, generation, key_version, code,
-                                         maybe_moved]() mutable {
-                                          if (code == 200)
-                                            moving_.erase(m.id);
-                                          else if (maybe_moved)
-                                            commit_move(std::move(m), from, generation, key_version, true);
-                                          else
-                                            keep_machine(m.id, from);
-                                        });
-                     });
+  deps_.store.commit(
+      std::move(guards), std::move(writes), urgency,
+      [this, m = std::move(m), from, generation, key_version, maybe_executed](int code,
+                                                                              std::uint64_t) mutable {
+        const bool maybe_moved = code == 0 || code == 409 || maybe_executed;
+        deps_.loop.call_later(
+            code != 200 && maybe_moved ? kMoveUnknownRetryDelay : kMoveRetryDelay,
+            [this, m = std::move(m), from, generation, key_version, code, maybe_moved]() mutable {
+              if (code == 200)
+                moving_.erase(m.id);
+              else if (maybe_moved)
+                commit_move(std::move(m), from, generation, key_version, true);
+              else
+                keep_machine(m.id, from);
+            });
+      });
 }
 
 /// The owner key has changed, so no attempt can be executed any more. One may have been before without the
@@ -282,9 +284,10 @@
                       moving_.erase(m.id);  // moved or deleted: the watch will report it
                       return;
                     }
-                    deps_.loop.later(kMoveRetryDelay, [this, m = std::move(m), from, generation]() mutable {
-                      keep_unless_moved(std::move(m), from, generation);
-                    });
+                    deps_.loop.call_later(kMoveRetryDelay,
+                                          [this, m = std::move(m), from, generation]() mutable {
+                                            keep_unless_moved(std::move(m), from, generation);
+                                          });
                   });
 }
 
--- a/src/app/socket_budget.h
+++ b/src/app/socket_budget.h
@@ -21,7 +21,7 @@
 /// Together with the connections to services and peers, all numbers stay within `sockets`, however small it
 /// is; each is at least 1.
 inline SocketBudget socket_budget(const wire::PlatformSettings& p) {
-  const auto all = static_cast<std::size_t>(std::max(p.sockets, 1));
+  const auto all = static_cast<std::size_t>(std::max(p.max_sockets, 1));
   SocketBudget b;
   b.max_pushes = std::max<std::size_t>(1, all / 10);
   b.reserved = std::max<std::size_t>(1, all / 16);
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -51,7 +51,7 @@
     return refuse_or_redirect(exchange, share, "", "this node may not renew worker leases now");
   const auto reply = owned->controller->on_report(report, now, deps_.owned_shares.start_refusal(*owned));
   if (!reply) return exchange->answer(503, wire::error_body("the lease of the worker must expire first"));
-  exchange->answer(200, wire::report_answer(reply->token, reply->orders));
+  exchange->answer(200, wire::report_response(reply->token, reply->orders));
   deps_.schedule_tick();
 }
 
@@ -118,8 +118,8 @@
   }
   ++pushes_in_flight_;
   deps_.workers.request(
-      net::Method::post, to, "/do", wire::direct_orders(batch.token, batch.session, batch.orders),
-      kPushTimeout, [this, share, generation, machine = batch.machine](int code, const std::string& body) {
+      net::Method::post, to, "/do", wire::push_body(batch.token, batch.session, batch.orders), kPushTimeout,
+      [this, share, generation, machine = batch.machine](int code, const std::string& body) {
         on_push_done(share, generation, machine, code, body);
       });
 }
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -45,11 +45,11 @@
   std::erase_if(booting_, [&](const auto& e) {
     if (seen.contains(e.first)) return false;
     const Micros unlisted_for = now - (e.second.was_listed ? e.second.last_listed : e.second.rented_at);
-    return unlisted_for > 4 * platform_.list_lag;
+    return unlisted_for > 4 * platform_.cloud_list_lag;
   });
   std::erase_if(failed_since_, [&](const auto& e) { return !seen.contains(e.first); });
   std::erase_if(deleting_, [&](const auto& e) {
-    return now - e.second > 6 * platform_.list_lag && !seen.contains(e.first);
+    return now - e.second > 6 * platform_.cloud_list_lag && !seen.contains(e.first);
   });
 }
 
@@ -91,7 +91,7 @@
 
 /// How many of the demand's tasks fit into `capacity` together.
 std::uint32_t Provisioner::tasks_fitting(const share::Demand& d, const wire::Resources& capacity) const {
-  return static_cast<std::uint32_t>(d.need.times_in(capacity, kMaxTasksPerMachine));
+  return static_cast<std::uint32_t>(d.need.copies_that_fit(capacity, kMaxTasksPerMachine));
 }
 
 /// Whether the demand's tasks may use this machine type, zone and kind of rental, and the zone takes more of
@@ -153,7 +153,7 @@
   // taken for a straggler.
   std::erase_if(booting_, [&](const auto& b) { return records.contains(b.first); });
   for (const auto& [id, b] : booting_) {
-    const Micros boot = b.type < types_.size() ? types_[b.type].boot : 0;
+    const Micros boot = b.type < types_.size() ? types_[b.type].boot_time : 0;
     const auto limit = static_cast<Micros>(settings_.straggler_factor * static_cast<double>(boot)) +
                        settings_.straggler_extra;
     if (plan.now - b.rented_at > limit || failed_since_.contains(id)) request_delete(id);
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -80,8 +80,8 @@
               ProvisionerSettings settings)
       : platform_(platform), types_(types), settings_(settings) {}
 
-  /// The cloud's complete machine list. It may lag by the platform's `list_lag`, and an older list may follow
-  /// a newer one.
+  /// The cloud's complete machine list. It may lag by the platform's `cloud_list_lag`, and an older list may
+  /// follow a newer one.
   void listed(const std::vector<wire::CloudMachine>& machines,
               const std::map<std::string, MachineRecord>& records, Micros now);
   /// The answer to a RentMachines action, with the HTTP status and the ids of the machines granted. Must be
--- a/src/fleet/provisioner_renting.cpp
+++ b/src/fleet/provisioner_renting.cpp
@@ -112,7 +112,7 @@
     // ones.
     const bool urgent = pending.demand.rank >= wire::Rank::production
                             ? pending.demand.slack_ms == 0
-                            : pending.demand.slack_ms < to_seconds(types_[o.type].boot) * 1000;
+                            : pending.demand.slack_ms < to_seconds(types_[o.type].boot_time) * 1000;
     if (expensive && !urgent && !is_deferrable(pending.demand)) continue;
     // High-rank arrays preempt deferrable work long before an expensive machine has booted. Whether that work
     // then justifies such a machine is decided with its own demand.
--- a/src/job/graph.cpp
+++ b/src/job/graph.cpp
@@ -46,7 +46,7 @@
   auto it = nodes_.find(id);
   if (it == nodes_.end() && record.spec && record.status == JobStatus::queued)
     ++history_[record.spec->job_class].jobs;
-  if (it == nodes_.end() && (!record.spec || record.spec->needs.empty())) return;
+  if (it == nodes_.end() && (!record.spec || record.spec->dependencies.empty())) return;
   Node& n = it == nodes_.end() ? find_or_create_node(id) : it->second;
   if (!n.known && record.spec) add_spec(n, record);
   if (record.status == JobStatus::done && n.status != JobStatus::done) record_done(n, record);
@@ -65,12 +65,12 @@
   if (!n.dependents.empty()) ++history_[n.job_class].jobs_with_dependents;
   for (const Node* dependent : n.dependents)
     if (dependent->undecided()) raise_priority(n, *dependent);
-  for (const auto& id : spec.needs) {
+  for (const auto& id : spec.dependencies) {
     Node& needed = find_or_create_node(id);
     if (&needed == &n) continue;
     if (const JobRecord* r = needed.known || needed.status != JobStatus::queued ? nullptr : lookup_(id)) {
       // A job with dependencies of its own already has a node whose spec is known.
-      if (r->spec && r->spec->needs.empty()) add_spec(needed, *r);
+      if (r->spec && r->spec->dependencies.empty()) add_spec(needed, *r);
       if (r->status == JobStatus::done) record_done(needed, *r);
       if (r->status == JobStatus::cancelled) record_cancelled(needed);
     }
--- a/src/job/record.cpp
+++ b/src/job/record.cpp
@@ -51,25 +51,25 @@
   if (!cancelled.spec) return record_to_json(cancelled);
   wire::JobSpec spec = *cancelled.spec;
   spec.types.reset();
-  spec.needs.clear();
+  spec.dependencies.clear();
   if (spec.image.size() + spec.job_class.size() > limit / 16) spec.image.clear(), spec.job_class = spec.team;
   cancelled.spec = std::make_shared<const JobSpec>(std::move(spec));
   return record_to_json(cancelled);
 }
 
 std::vector<wire::Json> types_to_rows(const std::vector<wire::MachineType>& types, std::size_t limit) {
-  std::vector<wire::Json> rows{wire::types_to_json(types)};
+  std::vector<wire::Json> rows{wire::machine_types_to_json(types)};
   if (rows[0].dump().size() <= limit) return rows;
   rows.clear();
   std::vector<wire::MachineType> row_types;
   for (const auto& t : types) {
     row_types.push_back(t);
-    if (row_types.size() == 1 || wire::types_to_json(row_types).dump().size() + 16 <= limit) continue;
+    if (row_types.size() == 1 || wire::machine_types_to_json(row_types).dump().size() + 16 <= limit) continue;
     row_types.pop_back();
-    rows.push_back(wire::types_to_json(row_types));
+    rows.push_back(wire::machine_types_to_json(row_types));
     row_types = {t};
   }
-  rows.push_back(wire::types_to_json(row_types));
+  rows.push_back(wire::machine_types_to_json(row_types));
   for (auto& r : rows) r["rows"] = rows.size();
   return rows;
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,4 @@
-// The loop on libevent. One thread; callbacks run in it, one after another.
+// Loop on libevent. All callbacks run one after another in the thread that calls run().
 #pragma once
 #include <event2/event.h>
 
@@ -11,15 +11,15 @@
 
 class EventLoop : public Loop {
  public:
-  EventLoop();  // throws std::runtime_error if libevent can't make one
+  EventLoop();  // throws std::runtime_error if libevent cannot create an event base
   ~EventLoop() override;
 
   Micros now() const override;
   Micros time_of_day() const override;
-  void later(Micros delay, std::function<void()> what) override;
-  void every(Micros period, std::function<void()> what) override;
+  void call_later(Micros delay, std::function<void()> callback) override;
+  void call_every(Micros period, std::function<void()> callback) override;
 
-  /// Until nothing is left to wait for, or stop().
+  /// Returns when no event is left to wait for, or after stop().
   void run();
   void stop();
   event_base* base() { return base_.get(); }
@@ -27,18 +27,18 @@
  private:
   struct Timer {
     EventLoop* loop;
-    std::function<void()> what;
+    std::function<void()> callback;
     bool once;
-    event* source = nullptr;
+    event* timer_event = nullptr;
     std::list<Timer>::iterator self;
   };
-  struct Free {
+  struct Deleter {
     void operator()(event_base* b) const { event_base_free(b); }
   };
-  void add(Micros delay, bool once, std::function<void()> what);
-  static void fire(evutil_socket_t, short, void* timer);
+  void add_timer(Micros delay, bool once, std::function<void()> callback);
+  static void on_timer(evutil_socket_t, short, void* timer);
 
-  std::unique_ptr<event_base, Free> base_;
+  std::unique_ptr<event_base, Deleter> base_;
   std::list<Timer> timers_;
 };
 
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -380,7 +380,7 @@
 /// How many tasks of the job fit into `room` on this machine.
 std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources room) const {
   if (!fits(j, m, room)) return 0;
-  return j.spec->need.times_in(room, j.spec->tasks);
+  return j.spec->need.copies_that_fit(room, j.spec->tasks);
 }
 
 /// The zones in which the whole gang could start, if each machine has the capacity that `room_of` returns.
@@ -447,7 +447,7 @@
 /// Whether the gang saves checkpoints, runs with all its tasks, not all of them on spot machines, and has
 /// enough run time left that the lower price outweighs fetching the image again and restarting.
 bool Placement::worth_moving_to_spot(const Job& j, Micros now) const {
-  if (j.spec->shape != Shape::gang || !j.spec->spot || j.spec->checkpoint_every == 0 ||
+  if (j.spec->shape != Shape::gang || !j.spec->spot || j.spec->checkpoint_interval == 0 ||
       j.spec->need.gpus == 0)
     return false;
   if (j.cancelled || j.finished || j.committing || j.active.size() != j.spec->tasks) return false;
@@ -465,7 +465,7 @@
   // Not if the move could make it miss its objective.
   for (const auto& o : platform_.objectives)
     if (o.kind == "finished" && o.job_class == j.spec->job_class) {
-      const Micros spare = j.ready + o.within - now - remaining;
+      const Micros spare = j.ready + o.time_limit - now - remaining;
       if (spare > 0 && spare < remaining / 2 + kMoveDuration * 2) return false;
     }
   return remaining > kMinRemainingToMove;
@@ -482,7 +482,7 @@
     spdlog::info("gang {} moves to spot machines", j->id);
     j->moved_to_spot_at = now;
     j->spot_only_until = now + kMoveDuration;
-    view_.stop_gang(*j, j->spec->save_time);
+    view_.stop_gang(*j, j->spec->checkpoint_duration);
     return;
   }
 }
@@ -536,7 +536,7 @@
     m.reserved_until = now + kReservationTime;
     for (auto& [key, p] : m.tasks) {
       if (task_slots(j, m, m.free) >= c.slots || p.halting || !outranked(p)) continue;
-      const Micros grace = p.job->spec->checkpoint_every > 0 ? p.job->spec->save_time : 0;
+      const Micros grace = p.job->spec->checkpoint_interval > 0 ? p.job->spec->checkpoint_duration : 0;
       if (p.job->spec->shape == Shape::gang)
         view_.stop_gang(*p.job, grace);
       else
@@ -609,7 +609,7 @@
   best->reserved_until = now + kReservationTime;
   for (TaskAttempt* p : best_victims) {
     spdlog::debug("preempting {}/{} on {} for {}", p->job_id, p->index, best->record.id, j.id);
-    const Micros grace = p->job->spec->checkpoint_every > 0 ? p->job->spec->save_time : 0;
+    const Micros grace = p->job->spec->checkpoint_interval > 0 ? p->job->spec->checkpoint_duration : 0;
     if (p->job->spec->shape == Shape::gang)
       view_.stop_gang(*p->job, grace);
     else
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -146,7 +146,7 @@
     doubt_delivery(m, now, "a push got no answer");
   else
     ++m.token_offset;
-  const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report);
+  const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report_interval);
   m.next_push_at = now + std::min(longest, kPushRetryDelay << std::min(lost_before, kMaxPushRetryDoublings));
   for (auto& [key, p] : m.tasks)
     if (p.phase == AttemptPhase::sent && p.sent_by_push) p.fence_token = current_token(m);
