--- /dev/null
+++ b/tests/cancellation_delivery_test.cpp
@@ -0,0 +1,177 @@
+// A cancellation that a user was told of reaches whoever answers the job's workers, also one that the state
+// service refuses: the tasks are gone within the time that a cancellation has (design/cancellation.md).
+#include "node_fixture.h"
+
+namespace aspenwick::testing {
+namespace {
+
+using net::Method;
+
+/// Node a leads and owns the share of this team; eight long tasks run on its machines. The parameter: what
+/// follows begins only once the user was told, else as soon as the cancellation is committed.
+struct CancellationDeliveryTest : NodeTest, ::testing::WithParamInterface<bool> {
+  CancellationDeliveryTest() {
+    world.run_time = 3600 * kSecond;
+    world.engine.run_for(20 * kSecond);
+    submit("j-1");
+    world.engine.run_for(20 * kSecond);
+    EXPECT_EQ(world.store.keys.at("s/leader").value.at("node"), "a");
+    EXPECT_EQ(world.store.keys.at("s/holder/0").value.at("node"), "a");
+    EXPECT_EQ(world.starts.size(), 8U);
+  }
+  void submit(const std::string& id) {
+    auto submission = job(id, 8);
+    submission["owner"] = "cards";
+    EXPECT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+  }
+  /// As a user does: at these nodes in turn, then again and again at the last, until it is confirmed.
+  void cancel(const std::string& id, const std::vector<std::string>& nodes) {
+    for (const auto& node : nodes)
+      if (record_confirmation(id, world.ask(node, Method::post, cancel_path(id)))) return;
+    EXPECT_EQ(world.store.keys.at("s/job/" + id).value.at("st"), "withdrawn");
+    retry_cancel(id, nodes.back());
+    for (int i = 0; GetParam() && i < 20 && !world.cancelled.contains(id); ++i) world.engine.run_for(kSecond);
+  }
+  static std::string cancel_path(const std::string& id) { return "/v1/jobs/" + id + "/withdraw"; }
+  bool record_confirmation(const std::string& id, const Answer& answer) {
+    if (answer.status != 200) return false;
+    EXPECT_EQ(answer.body.at("status"), "withdrawn");
+    world.cancelled.emplace(id, world.engine.now);
+    return true;
+  }
+  void retry_cancel(const std::string& id, const std::string& node) {
+    world.engine.at(kSecond, [this, id, node] {
+      if (!world.up(node)) return retry_cancel(id, node);
+      world.send(node, Method::post, cancel_path(id), {}, [this, id, node](const Answer& answer) {
+        if (!record_confirmation(id, answer)) retry_cancel(id, node);
+      });
+    });
+  }
+  /// The state service is down for all, for longer than a cancellation has.
+  void run_outage() {
+    world.state_down = true;
+    world.engine.run_for(world.cancel_time() + 2 * world.worker_lease());
+  }
+  /// All of it, also once the troubles are over.
+  void expect_no_cancelled_task_ran(const std::vector<std::string>& cancelled = {"j-1"}) {
+    world.state_down = false;
+    world.state_refuses.clear(), world.cut_off.clear(), world.unanswered.clear(), world.watch_stalls.clear();
+    world.engine.run_for(30 * kSecond);
+    for (const auto& id : cancelled) EXPECT_TRUE(world.cancelled.contains(id)) << id;
+    EXPECT_EQ(world.ran_cancelled, "");
+    EXPECT_EQ(world.ran_twice, 0) << world.first_twice;
+  }
+  SmallWorld world;
+};
+
+// The link between the two is broken just then: what the confirming node says once is lost.
+TEST_P(CancellationDeliveryTest, LeaderRefusedAloneWithABrokenPeerLinkLearnsOfTheCancellation) {
+  world.state_refuses = world.cut_off = {"a"};
+  cancel("j-1", {"b"});
+  world.state_down = true;
+  world.engine.run_for(kSecond);
+  world.cut_off.clear();
+  run_outage();
+  expect_no_cancelled_task_ran();
+}
+
+// The commit was executed and its answer lost: the user hears of it from a third node, which did not make it.
+TEST_P(CancellationDeliveryTest, LeaderRefusedAloneLearnsOfTheCancellationWhenARetryAtAnotherNodeConfirms) {
+  world.state_refuses = {"a"};
+  world.unanswered = {"b"};
+  cancel("j-1", {"b", "c"});
+  run_outage();
+  expect_no_cancelled_task_ran();
+}
+
+// The same, and that third node has just read the record; no watch has told anybody of it yet.
+TEST_P(CancellationDeliveryTest, LeaderRefusedAloneLearnsOfTheCancellationWhenTheConfirmingNodeReadItOnce) {
+  world.state_refuses = {"a"};
+  world.unanswered = world.watch_stalls = {"b"};
+  world.watch_stalls.insert("c");
+  cancel("j-1", {"b", "c"});
+  run_outage();
+  expect_no_cancelled_task_ran();
+}
+
+// Whoever confirmed it ends, and nobody else knows: the leader hears all peers say that they lack the state
+// service too, and one of them is a process that can't know what was confirmed before it.
+TEST_P(CancellationDeliveryTest, RestartedPeerDoesNotConfirmRenewalsPastTheCancellation) {
+  world.state_refuses = world.cut_off = {"a", "c"};
+  cancel("j-1", {"b"});
+  world.state_down = true;
+  world.crash("b");
+  world.engine.run_for(300 * kMillisecond);
+  world.start("b");
+  world.cut_off.clear();
+  run_outage();
+  expect_no_cancelled_task_ran();
+}
+
+// Two refusals of the leader in a row, each with cancellations and an outage right after it.
+TEST_P(CancellationDeliveryTest, LeaderRefusedTwiceLearnsOfBothCancellations) {
+  submit("j-2");
+  world.engine.run_for(20 * kSecond);
+  for (const char* id : {"j-1", "j-2"}) {
+    world.state_refuses = {"a"};
+    world.engine.run_for(kSecond);
+    world.unanswered = {"c"};
+    cancel(id, {"c", "b"});
+    world.unanswered.clear();
+    run_outage();
+    world.state_down = false, world.state_refuses.clear();
+    world.engine.run_for(30 * kSecond);
+  }
+  expect_no_cancelled_task_ran({"j-1", "j-2"});
+}
+
+// Another node has taken the share when the outage begins: the former leader, whom nobody told that, must not
+// go on with workers that only it reaches. When the outage is over their tasks start elsewhere at once.
+TEST_P(CancellationDeliveryTest, LeaderWhoseShareWasTakenBeforeTheOutageStopsRenewing) {
+  for (Micros outage_delay = 0; outage_delay <= 4 * kSecond; outage_delay += kSecond) {
+    SCOPED_TRACE(to_seconds(outage_delay));
+    SmallWorld local_world;
+    local_world.run_time = 3600 * kSecond;
+    local_world.push_lost = 0;
+    local_world.engine.run_for(20 * kSecond);
+    auto submission = job("j-1", 8);
+    submission["owner"] = "cards";
+    EXPECT_EQ(local_world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    local_world.engine.run_for(20 * kSecond);
+    for (const auto& machine : local_world.machines()) local_world.only_reaches[machine] = "a";
+    local_world.run_time = 3 * kSecond;  // leaves machines that the new owner can use at once
+    EXPECT_EQ(local_world.ask("b", Method::post, "/v1/jobs", job("j-2", 8)).status, 201);
+    local_world.engine.run_for(15 * kSecond);
+    local_world.run_time = 3600 * kSecond;
+    local_world.state_refuses = {"a"};
+    local_world.engine.run_for(6 * kSecond + outage_delay);
+    EXPECT_NE(local_world.store.keys.at("s/holder/0").value.at("node"), "a");
+    local_world.state_down = true;
+    local_world.engine.run_for(local_world.cancel_time() + 2 * local_world.worker_lease());
+    local_world.state_down = false;
+    local_world.engine.run_for(60 * kSecond);
+    EXPECT_EQ(local_world.ran_twice, 0) << local_world.first_twice;
+    for (int i = 0; i < 8; ++i) EXPECT_EQ(local_world.starts["j-1/" + std::to_string(i)], 2);
+  }
+}
+
+// An outage alone costs nothing: everyone goes on for as long as it takes.
+TEST_P(CancellationDeliveryTest, OutageForAllNodesEndsNoTask) {
+  submit("j-2");
+  world.engine.run_for(20 * kSecond);
+  cancel("j-1", {"c"});
+  run_outage();
+  run_outage();
+  world.state_down = false;
+  world.engine.run_for(30 * kSecond);
+  expect_no_cancelled_task_ran();
+  EXPECT_EQ(world.starts.size(), 16U);
+  for (const auto& [task, starts] : world.starts) EXPECT_EQ(starts, 1) << task;
+}
+
+INSTANTIATE_TEST_SUITE_P(FaultStarts, CancellationDeliveryTest, ::testing::Bool(), [](const auto& info) {
+  return info.param ? "OnceTheUserWasTold" : "OnceItIsCommitted";
+});
+
+}  // namespace
+}  // namespace aspenwick::testing
--- a/tests/ran_twice_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -8,11 +8,11 @@
 
 using net::Method;
 
-constexpr Micros kLongRun = 3600 * kSecond;
+constexpr Micros kLongTaskDuration = 3600 * kSecond;
 
-struct RanTwiceTest : NodeTest {
+struct DuplicateExecutionTest : NodeTest {
   /// Node a leads and owns the share of this team.
-  void submit_for_node_a(const std::string& id, int tasks) {
+  void submit_to_share_0(const std::string& id, int tasks) {
     auto submission = job(id, tasks);
     submission["owner"] = "cards";
     ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
@@ -27,48 +27,50 @@
 // Node a is cut off from the state service and its peers and goes on answering its workers for a bounded time
 // after its lease. Its successor is killed and back at once, so the share changes owner twice within that
 // time: the second successor has to wait for node a's workers just as the first one had to.
-TEST_F(RanTwiceTest, ASecondTakeoverStillWaitsForTheOwnerBeforeTheFirst) {
+TEST_F(DuplicateExecutionTest, SecondTakeoverWaitsForTheOwnerBeforeTheFirst) {
   for (Micros owned_for = 0; owned_for <= 4 * kSecond; owned_for += kSecond) {
     SCOPED_TRACE(to_seconds(owned_for));
-    SmallWorld w;
-    w.run_time = kLongRun;
-    w.push_lost = 0;
-    w.engine.run_for(20 * kSecond);
+    SmallWorld local_world;
+    local_world.run_time = kLongTaskDuration;
+    local_world.push_lost = 0;
+    local_world.engine.run_for(20 * kSecond);
     auto submission = job("j-1", 8);
     submission["owner"] = "cards";
-    ASSERT_EQ(w.ask("b", Method::post, "/v1/jobs", submission).status, 201);
-    w.engine.run_for(20 * kSecond);
-    for (const auto& machine : w.machines()) w.only_reaches[machine] = "a";
-    w.state_refuses = w.cut_off = {"a"};
-    auto owner = [&w] {
-      const auto row = w.store.keys.find("s/holder/0");
-      return row == w.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
+    ASSERT_EQ(local_world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    local_world.engine.run_for(20 * kSecond);
+    for (const auto& machine : local_world.machines()) local_world.only_reaches[machine] = "a";
+    local_world.state_refuses = local_world.cut_off = {"a"};
+    auto current_owner = [&local_world] {
+      const auto row = local_world.store.keys.find("s/holder/0");
+      return row == local_world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
     };
-    for (int i = 0; i < 100 && (owner().empty() || owner() == "a"); ++i) w.engine.run_for(kSecond / 10);
-    const std::string successor = owner();
+    for (int i = 0; i < 100 && (current_owner().empty() || current_owner() == "a"); ++i)
+      local_world.engine.run_for(kSecond / 10);
+    const std::string successor = current_owner();
     ASSERT_NE(successor, "a");
-    w.engine.run_for(owned_for);
-    w.crash(successor);
-    w.engine.run_for(50 * kMillisecond);
-    w.start(successor);
-    w.engine.run_for(60 * kSecond);
-    EXPECT_EQ(w.ran_twice, 0) << w.first_twice;
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(w.starts["j-1/" + std::to_string(i)], 2);  // none is left waiting
+    local_world.engine.run_for(owned_for);
+    local_world.crash(successor);
+    local_world.engine.run_for(50 * kMillisecond);
+    local_world.start(successor);
+    local_world.engine.run_for(60 * kSecond);
+    EXPECT_EQ(local_world.ran_twice, 0) << local_world.first_twice;
+    for (int i = 0; i < 8; ++i)
+      EXPECT_EQ(local_world.starts["j-1/" + std::to_string(i)], 2);  // none is left waiting
   }
 }
 
 // Answers to pushes overtake the worker's reports, whose answers renew its lease all the same: when the
 // machine falls silent, its tasks run until a lease after the last report that was answered.
-TEST_F(RanTwiceTest, AnswersToReportsThatPushAnswersOvertookRenewTheLease) {
+TEST_F(DuplicateExecutionTest, AnswersToReportsOvertakenByPushAnswersRenewTheLease) {
   world.push_lost = 0;
   world.engine.run_for(20 * kSecond);
-  submit_for_node_a("j-1", 12);  // leaves an empty machine that can be used at once
+  submit_to_share_0("j-1", 12);  // leaves an empty machine that can be used at once
   world.engine.run_for(20 * kSecond);
-  world.run_time = kLongRun;
-  submit_for_node_a("j-2", 2);
+  world.run_time = kLongTaskDuration;
+  submit_to_share_0("j-2", 2);
   world.engine.run_for(3 * kSecond);
-  const auto used = world.machines_of("j-2");
-  ASSERT_EQ(used.size(), 1U);
+  const auto machines_running_job = world.machines_of("j-2");
+  ASSERT_EQ(machines_running_job.size(), 1U);
   world.report_takes = 400 * kMillisecond;
   for (int i = 0; i < 30; ++i) {  // a push now and then while reports are on their way
     auto submission = job("j-" + std::to_string(100 + i), 1);
@@ -77,7 +79,7 @@
     ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
     world.engine.run_for(200 * kMillisecond);
   }
-  world.hang(used[0], 2 * world.worker_lease());
+  world.hang(machines_running_job[0], 2 * world.worker_lease());
   world.engine.run_for(2 * world.worker_lease());
   EXPECT_EQ(world.ran_twice, 0) << world.first_twice;
   EXPECT_EQ(world.starts["j-2/0"], 2);
@@ -85,35 +87,35 @@
 
 // The changes that a node missed are too many, and it reads all keys again, in pages. A machine that it
 // records meanwhile as the leader is on none of the pages read before: it was not removed.
-TEST_F(RanTwiceTest, AMachineRecordedWhileAllKeysAreReadAgainIsNotTakenForRemoved) {
-  for (Micros read_after = 0; read_after < 7 * kSecond; read_after += kSecond / 2) {
-    SCOPED_TRACE(to_seconds(read_after));
-    SmallWorld w;
-    w.push_lost = 0;
-    w.engine.run_for(20 * kSecond);
-    ASSERT_EQ(w.store.keys.at("s/leader").value.at("node"), "a");
-    auto submit = [&w](const std::string& id) {
+TEST_F(DuplicateExecutionTest, MachineRecordedDuringAKeyRereadIsNotTreatedAsRemoved) {
+  for (Micros reread_delay = 0; reread_delay < 7 * kSecond; reread_delay += kSecond / 2) {
+    SCOPED_TRACE(to_seconds(reread_delay));
+    SmallWorld local_world;
+    local_world.push_lost = 0;
+    local_world.engine.run_for(20 * kSecond);
+    ASSERT_EQ(local_world.store.keys.at("s/leader").value.at("node"), "a");
+    auto submit = [&local_world](const std::string& id) {
       auto submission = job(id, 24);
       submission["owner"] = "cards";
-      ASSERT_EQ(w.ask("a", Method::post, "/v1/jobs", submission).status, 201);
+      ASSERT_EQ(local_world.ask("a", Method::post, "/v1/jobs", submission).status, 201);
     };
-    w.run_time = 18 * kSecond;  // makes room on other machines once the new ones have their tasks
+    local_world.run_time = 18 * kSecond;  // makes room on other machines once the new ones have their tasks
     submit("j-1");
-    w.engine.run_for(18 * kSecond);
-    w.run_time = kLongRun;
-    w.watch_stalls = {"a"};
+    local_world.engine.run_for(18 * kSecond);
+    local_world.run_time = kLongTaskDuration;
+    local_world.watch_stalls = {"a"};
     submit("j-2");
-    w.engine.run_for(read_after);
-    w.store.rows_in_page = 4;
-    w.store.page_takes = kSecond;  // as if there were very many pages
-    w.store.forget_changes();
-    w.watch_stalls.clear();
-    w.engine.run_for(20 * kSecond);
-    w.store.page_takes = 0;
-    w.engine.run_for(60 * kSecond);
-    EXPECT_EQ(w.ran_twice, 0) << w.first_twice;
-    EXPECT_EQ(w.starts.size(), 48U);
-    for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
+    local_world.engine.run_for(reread_delay);
+    local_world.store.rows_in_page = 4;
+    local_world.store.page_takes = kSecond;  // as if there were very many pages
+    local_world.store.forget_changes();
+    local_world.watch_stalls.clear();
+    local_world.engine.run_for(20 * kSecond);
+    local_world.store.page_takes = 0;
+    local_world.engine.run_for(60 * kSecond);
+    EXPECT_EQ(local_world.ran_twice, 0) << local_world.first_twice;
+    EXPECT_EQ(local_world.starts.size(), 48U);
+    for (const auto& [task, starts] : local_world.starts) EXPECT_EQ(starts, 1) << task;
   }
 }
 
@@ -125,19 +127,19 @@
 //   freed j-1/9 try 1048586 on i-100003 session 1 token 1048576: done
 //   machine i-100003 leaves share 0 for -1
 //   start j-1/9 try 2097154 on i-100002 session 1 token 2097152 by push
-TEST_F(RanTwiceTest, ResultsThatAreNotRecordedYetOutliveAMachinesChangeOfShare) {
+TEST_F(DuplicateExecutionTest, UnrecordedResultsSurviveAMachinesChangeOfShare) {
   world.push_lost = 0;
   world.commit_lost = [](const std::string& body) { return body.find("\"p/") != std::string::npos; };
   world.engine.run_for(20 * kSecond);
   world.run_spread = 200 * kSecond;
-  submit_for_node_a("j-1", 48);
+  submit_to_share_0("j-1", 48);
   world.engine.run_for(190 * kSecond);
-  const auto results = world.completed;
-  ASSERT_GT(results.size(), 3U);
-  ASSERT_LT(results.size(), 48U);
+  const auto completed_tasks = world.completed;
+  ASSERT_GT(completed_tasks.size(), 3U);
+  ASSERT_LT(completed_tasks.size(), 48U);
   world.crash("a");
   world.engine.run_for(100 * kSecond);
-  for (const auto& task : results) EXPECT_EQ(world.starts[task], 1) << task;
+  for (const auto& task : completed_tasks) EXPECT_EQ(world.starts[task], 1) << task;
 }
 
 // A machine's report names a task of a job whose record has not been read yet. Once it has, the task is not
@@ -147,36 +149,37 @@
 // record, when it came, found all its tasks free. The owner's log, after the report of j-1/0:
 //   share 0: rebuilt, 2 machines, 0 jobs
 //   place j-1/0 try 2097153 on i-1 q 0.5000 of 2 with room
-TEST_F(RanTwiceTest, ATaskOfAJobThatIsNotKnownYetIsPlacedNowhereElse) {
+TEST_F(DuplicateExecutionTest, RunningTaskOfAnUnknownJobIsNotPlacedAgain) {
   const auto platform = wire::parse_settings(settings_json().dump());
   const auto types = machine_types();
   constexpr std::uint64_t kEpoch = 2;
   constexpr Micros kNow = 1000 * kSecond;
   job::JobRecord record;
-  bool known = false;
-  auto look_up = [&](const std::string&) { return known ? &record : nullptr; };
-  share::ShareController owner(platform, types, {}, look_up, kEpoch, kNow, kNow);
+  bool record_known = false;
+  auto find_record = [&](const std::string&) { return record_known ? &record : nullptr; };
+  share::ShareController controller(platform, types, {}, find_record, kEpoch, kNow, kNow);
   for (const char* id : {"i-1", "i-2"}) {
     share::MachineRecord machine;
     machine.id = id, machine.address = "127.0.0.1:9", machine.type = "cpu8", machine.zone = "z1";
-    owner.on_machine_record(machine, false, kNow);
+    controller.on_machine_record(machine, false, kNow);
   }
-  owner.finish_loading(kNow);
+  controller.finish_loading(kNow);
   wire::WorkerReport report;
   report.address = "127.0.0.1:9", report.type = "cpu8", report.zone = "z1";
   report.session = report.seq = 1;
   report.token = kEpoch << place::kEpochShift;
   report.machine = "i-2";
-  owner.on_report(report, kNow, place::StartRefusal::none);
+  controller.on_report(report, kNow, place::StartRefusal::none);
   wire::TaskReport task;
   task.job = "j-1", task.attempt = 1, task.state = wire::TaskState::running;
   report.machine = "i-1", report.tasks = {task};
-  owner.on_report(report, kNow, place::StartRefusal::none);
-  known = true;
+  controller.on_report(report, kNow, place::StartRefusal::none);
+  record_known = true;
   record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(job("j-1", 1)));
-  owner.on_job_record("j-1", record, false, kNow, kNow);
-  owner.tick(kNow, place::StartRefusal::none);
-  for (const auto& placed : owner.describe_attempts()) EXPECT_EQ(placed, "i-1 j-1/0 running");
+  controller.on_job_record("j-1", record, false, kNow, kNow);
+  controller.tick(kNow, place::StartRefusal::none);
+  for (const auto& attempt_line : controller.describe_attempts())
+    EXPECT_EQ(attempt_line, "i-1 j-1/0 running");
 }
 
 }  // namespace
--- a/tests/stale_records_test.cpp
+++ b/tests/stale_records_test.cpp
@@ -13,15 +13,15 @@
 namespace aspenwick::testing {
 namespace {
 
-constexpr Micros kLongRun = 3600 * kSecond;
-constexpr int kTasks = 24;
-constexpr Micros kPause = 57 * kSecond;
-constexpr Micros kCancelledAfter = 11 * kSecond;  // of the pause; longer than a watch is open
+constexpr Micros kLongTaskDuration = 3600 * kSecond;
+constexpr int kTaskCount = 24;
+constexpr Micros kFreezeDuration = 57 * kSecond;
+constexpr Micros kCancelDelay = 11 * kSecond;  // of the pause; longer than a watch is open
 
 struct StaleRecordsTest : NodeTest {};
 
 /// Node a has lost the last changes and reads all keys again, in pages of a few keys that take a while each.
-void read_all_keys_again(SmallWorld& world, std::size_t rows_in_page, Micros page_takes) {
+void force_key_reread(SmallWorld& world, std::size_t rows_in_page, Micros page_takes) {
   world.watch_stalls = {"a"};
   EXPECT_EQ(world.ask("b", net::Method::post, "/v1/jobs", job("j-9", 1)).status, 201);
   world.store.rows_in_page = rows_in_page;
@@ -31,7 +31,7 @@
   world.engine.run_for(100 * kMillisecond);
 }
 
-struct World {
+struct Cluster {
   std::string owner_of_share_0() const {
     const auto row = world.store.keys.find("s/holder/0");
     return row == world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
@@ -41,20 +41,20 @@
 };
 
 /// The long tasks of job j-1 run on as many machines of share 0, which node a owns.
-struct RunningJob : World {
-  RunningJob() {
+struct ClusterWithRunningJob : Cluster {
+  ClusterWithRunningJob() {
     world.push_lost = 0;
-    world.run_time = kLongRun;
+    world.run_time = kLongTaskDuration;
     world.engine.run_for(20 * kSecond);
-    auto submission = job("j-1", kTasks);
+    auto submission = job("j-1", kTaskCount);
     submission["owner"] = "cards";
     submission["vcpus"] = 8.0;
     users.submit(submission);
     world.engine.run_for(30 * kSecond);
     EXPECT_EQ(owner_of_share_0(), "a");
-    EXPECT_EQ(world.starts.size(), static_cast<std::size_t>(kTasks));
+    EXPECT_EQ(world.starts.size(), static_cast<std::size_t>(kTaskCount));
   }
-  void expect_nothing_started_after_the_cancellation() const {
+  void expect_no_start_after_cancellation() const {
     EXPECT_TRUE(world.cancelled.contains("j-1"));
     EXPECT_EQ(world.start_after_cancellation, 0) << world.started_cancelled;
     EXPECT_EQ(world.ran_cancelled, "");
@@ -62,26 +62,26 @@
   }
 };
 
-TEST_F(StaleRecordsTest, AnOwnerThatStoodStillStartsNothingThatWasCancelledMeanwhile) {
-  for (Micros longer = 0; longer < 1300 * kMillisecond; longer += 50 * kMillisecond) {
-    SCOPED_TRACE(to_seconds(longer));
-    RunningJob r;
-    r.world.report_takes = 300 * kMillisecond;  // some reach the owner just after it is awake
-    r.world.interrupt_state_service(kPause + 5 * kSecond);
-    r.world.freeze("a", kPause + longer);
-    r.world.cut_off = {"a"};  // what its peers tell it is lost
-    r.world.engine.run_for(kCancelledAfter);
-    r.users.cancel("j-1", "b");
-    r.world.engine.run_for(kPause + longer - kCancelledAfter);
-    EXPECT_EQ(r.owner_of_share_0(), "a");
-    r.world.engine.run_for(10 * kSecond);
-    r.expect_nothing_started_after_the_cancellation();
+TEST_F(StaleRecordsTest, OwnerResumedAfterAFreezeStartsNothingCancelledMeanwhile) {
+  for (Micros extra_freeze = 0; extra_freeze < 1300 * kMillisecond; extra_freeze += 50 * kMillisecond) {
+    SCOPED_TRACE(to_seconds(extra_freeze));
+    ClusterWithRunningJob cluster;
+    cluster.world.report_takes = 300 * kMillisecond;  // some reach the owner just after it is awake
+    cluster.world.interrupt_state_service(kFreezeDuration + 5 * kSecond);
+    cluster.world.freeze("a", kFreezeDuration + extra_freeze);
+    cluster.world.cut_off = {"a"};  // what its peers tell it is lost
+    cluster.world.engine.run_for(kCancelDelay);
+    cluster.users.cancel("j-1", "b");
+    cluster.world.engine.run_for(kFreezeDuration + extra_freeze - kCancelDelay);
+    EXPECT_EQ(cluster.owner_of_share_0(), "a");
+    cluster.world.engine.run_for(10 * kSecond);
+    cluster.expect_no_start_after_cancellation();
   }
 }
 
 /// Node a owns share 0, on whose four machines the many short tasks of job j-1 take turns.
-struct WaitingTasks : World {
-  WaitingTasks() {
+struct ClusterWithQueuedTasks : Cluster {
+  ClusterWithQueuedTasks() {
     world.push_lost = 0;
     world.most_machines = 4;
     world.run_time = kSecond;
@@ -100,109 +100,110 @@
 
 // The same with nobody standing still: the owner's lease is renewed all the while, its records are being read
 // again.
-TEST_F(StaleRecordsTest, AnOwnerThatReadsAllKeysAgainStartsNothingThatWasCancelledMeanwhile) {
-  WaitingTasks w;
-  w.world.cut_off = {"a"};
-  read_all_keys_again(w.world, 4, 2 * kSecond);
-  w.users.cancel("j-1", "b");
-  w.world.engine.run_for(12 * kSecond);
-  EXPECT_TRUE(w.world.cancelled.contains("j-1"));
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
-  EXPECT_EQ(w.owner_of_share_0(), "a");
-  w.world.engine.run_for(60 * kSecond);
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
+TEST_F(StaleRecordsTest, OwnerRereadingAllKeysStartsNothingCancelledMeanwhile) {
+  ClusterWithQueuedTasks cluster;
+  cluster.world.cut_off = {"a"};
+  force_key_reread(cluster.world, 4, 2 * kSecond);
+  cluster.users.cancel("j-1", "b");
+  cluster.world.engine.run_for(12 * kSecond);
+  EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
+  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
+  EXPECT_EQ(cluster.owner_of_share_0(), "a");
+  cluster.world.engine.run_for(60 * kSecond);
+  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
 }
 
 // An owner whose lease is valid renews its workers' leases too: not for longer than a cancellation may stay
 // unknown.
-TEST_F(StaleRecordsTest, WorkersAreNotRenewedForLongOnOldRecords) {
-  RunningJob r;
-  r.world.cut_off = {"a"};
-  read_all_keys_again(r.world, 1, 2900 * kMillisecond);
-  r.users.cancel("j-1", "b");
-  r.world.engine.run_for(8 * kSecond);
-  EXPECT_TRUE(r.world.cancelled.contains("j-1"));
-  r.world.engine.run_for(r.world.cancel_time() + r.world.worker_lease());
-  EXPECT_EQ(r.owner_of_share_0(), "a");
-  r.expect_nothing_started_after_the_cancellation();
+TEST_F(StaleRecordsTest, WorkerLeasesAreNotRenewedForLongOnStaleRecords) {
+  ClusterWithRunningJob cluster;
+  cluster.world.cut_off = {"a"};
+  force_key_reread(cluster.world, 1, 2900 * kMillisecond);
+  cluster.users.cancel("j-1", "b");
+  cluster.world.engine.run_for(8 * kSecond);
+  EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
+  cluster.world.engine.run_for(cluster.world.cancel_time() + cluster.world.worker_lease());
+  EXPECT_EQ(cluster.owner_of_share_0(), "a");
+  cluster.expect_no_start_after_cancellation();
 }
 
 // A watch that a cut holds, while other requests are answered, costs no start: the changes are asked for
 // beside it.
-TEST_F(StaleRecordsTest, AWatchThatIsHeldStopsNoStartsAndHidesNoCancellation) {
-  WaitingTasks w;
-  w.world.cut_off = {"a"};
-  w.world.open_watches_held = {"a"};
-  w.submit("j-2");
-  w.users.cancel("j-1", "b");
-  w.world.engine.run_for(8 * kSecond);
-  EXPECT_TRUE(w.world.cancelled.contains("j-1"));
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
-  const auto started = w.world.starts.size();
-  w.world.engine.run_for(20 * kSecond);
-  EXPECT_GT(w.world.starts.size(), started + 100);  // of j-2
+TEST_F(StaleRecordsTest, HeldWatchNeitherStopsStartsNorHidesACancellation) {
+  ClusterWithQueuedTasks cluster;
+  cluster.world.cut_off = {"a"};
+  cluster.world.open_watches_held = {"a"};
+  cluster.submit("j-2");
+  cluster.users.cancel("j-1", "b");
+  cluster.world.engine.run_for(8 * kSecond);
+  EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
+  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
+  const auto starts_before = cluster.world.starts.size();
+  cluster.world.engine.run_for(20 * kSecond);
+  EXPECT_GT(cluster.world.starts.size(), starts_before + 100);  // of j-2
 }
 
 // The leader rents and moves nothing by a view that is being read again.
-TEST_F(StaleRecordsTest, ALeaderRentsNothingOnAnOldView) {
-  WaitingTasks w;
-  ASSERT_EQ(w.world.store.keys.at("s/leader").value.at("node"), "a");
-  const auto machines = w.world.machines().size();
-  read_all_keys_again(w.world, 1, 2 * kSecond);
-  w.world.engine.run_for(6 * kSecond);
-  w.world.most_machines = 100;  // the cloud has more now, and there is work for them
-  w.world.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.world.machines().size(), machines);
-  w.world.store.page_takes = 0;
-  w.world.engine.run_for(30 * kSecond);
-  EXPECT_GT(w.world.machines().size(), machines);
+TEST_F(StaleRecordsTest, LeaderRentsNothingOnAStaleView) {
+  ClusterWithQueuedTasks cluster;
+  ASSERT_EQ(cluster.world.store.keys.at("s/leader").value.at("node"), "a");
+  const auto machines = cluster.world.machines().size();
+  force_key_reread(cluster.world, 1, 2 * kSecond);
+  cluster.world.engine.run_for(6 * kSecond);
+  cluster.world.most_machines = 100;  // the cloud has more now, and there is work for them
+  cluster.world.engine.run_for(20 * kSecond);
+  EXPECT_EQ(cluster.world.machines().size(), machines);
+  cluster.world.store.page_takes = 0;
+  cluster.world.engine.run_for(30 * kSecond);
+  EXPECT_GT(cluster.world.machines().size(), machines);
 }
 
 // A leader that stood still sees machines that have not reported to it since, and no other share: it rents
 // nothing for the tasks that it takes for waiting before it has heard of both.
-TEST_F(StaleRecordsTest, ALeaderThatStoodStillRentsNothingBeforeItHasHeardOfItsMachines) {
-  for (Micros longer = 0; longer < 1300 * kMillisecond; longer += 100 * kMillisecond) {
-    SCOPED_TRACE(to_seconds(longer));
-    RunningJob r;
-    ASSERT_EQ(r.world.store.keys.at("s/leader").value.at("node"), "a");
-    const auto machines = r.world.machines().size();
-    r.world.interrupt_state_service(kPause + 2 * kSecond);
-    r.world.freeze("a", kPause + longer);
-    r.world.engine.run_for(kPause + longer + 20 * kSecond);
-    EXPECT_EQ(r.world.machines().size(), machines);
-    EXPECT_EQ(r.world.starts.at("j-1/0"), 2);
+TEST_F(StaleRecordsTest, LeaderResumedAfterAFreezeRentsNothingBeforeMachinesReport) {
+  for (Micros extra_freeze = 0; extra_freeze < 1300 * kMillisecond; extra_freeze += 100 * kMillisecond) {
+    SCOPED_TRACE(to_seconds(extra_freeze));
+    ClusterWithRunningJob cluster;
+    ASSERT_EQ(cluster.world.store.keys.at("s/leader").value.at("node"), "a");
+    const auto machines = cluster.world.machines().size();
+    cluster.world.interrupt_state_service(kFreezeDuration + 2 * kSecond);
+    cluster.world.freeze("a", kFreezeDuration + extra_freeze);
+    cluster.world.engine.run_for(kFreezeDuration + extra_freeze + 20 * kSecond);
+    EXPECT_EQ(cluster.world.machines().size(), machines);
+    EXPECT_EQ(cluster.world.starts.at("j-1/0"), 2);
   }
 }
 
 // The node that confirms has not read that the share changed its owner: the former one's word is not enough.
-TEST_F(StaleRecordsTest, AFormerOwnersWordConfirmsNoCancellation) {
-  WaitingTasks w;
-  w.world.watch_stalls = {"c"};
-  w.world.crash("a");
-  for (int i = 0; i < 100 && w.owner_of_share_0() != "b"; ++i) w.world.engine.run_for(kSecond / 10);
-  ASSERT_EQ(w.owner_of_share_0(), "b");
-  w.world.start("a");
-  w.world.engine.run_for(1500 * kMillisecond);
-  w.world.open_watches_held = w.world.cut_off = {"b"};
-  const auto started = w.world.starts.size();
-  w.users.cancel("j-1", "c");
-  w.world.engine.run_for(2 * kSecond);
-  ASSERT_GT(w.world.starts.size(), started);  // by b, which doesn't know yet
-  w.world.engine.run_for(8 * kSecond);
-  EXPECT_TRUE(w.world.cancelled.contains("j-1"));
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
+TEST_F(StaleRecordsTest, FormerOwnersAcknowledgementDoesNotConfirmACancellation) {
+  ClusterWithQueuedTasks cluster;
+  cluster.world.watch_stalls = {"c"};
+  cluster.world.crash("a");
+  for (int i = 0; i < 100 && cluster.owner_of_share_0() != "b"; ++i)
+    cluster.world.engine.run_for(kSecond / 10);
+  ASSERT_EQ(cluster.owner_of_share_0(), "b");
+  cluster.world.start("a");
+  cluster.world.engine.run_for(1500 * kMillisecond);
+  cluster.world.open_watches_held = cluster.world.cut_off = {"b"};
+  const auto starts_before = cluster.world.starts.size();
+  cluster.users.cancel("j-1", "c");
+  cluster.world.engine.run_for(2 * kSecond);
+  ASSERT_GT(cluster.world.starts.size(), starts_before);  // by b, which doesn't know yet
+  cluster.world.engine.run_for(8 * kSecond);
+  EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
+  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
 }
 
 // Where the owner can be reached, its word costs a round trip and the watch's pause, and no retry.
-TEST_F(StaleRecordsTest, ACancellationIsConfirmedAtOnceWhereItsOwnerHears) {
-  WaitingTasks w;
+TEST_F(StaleRecordsTest, CancellationIsConfirmedAtOnceWhenItsOwnerIsReachable) {
+  ClusterWithQueuedTasks cluster;
   for (int i = 2; i <= 12; ++i) {
     const std::string id = "j-" + std::to_string(i);
-    w.submit(id);
-    w.world.engine.run_for(kSecond + i * 23 * kMillisecond);
-    const Micros asked = w.world.engine.now;
-    EXPECT_EQ(w.world.ask("b", net::Method::post, "/v1/jobs/" + id + "/withdraw").status, 200);
-    EXPECT_LE(w.world.engine.now - asked, 120 * kMillisecond);
+    cluster.submit(id);
+    cluster.world.engine.run_for(kSecond + i * 23 * kMillisecond);
+    const Micros requested_at = cluster.world.engine.now;
+    EXPECT_EQ(cluster.world.ask("b", net::Method::post, "/v1/jobs/" + id + "/withdraw").status, 200);
+    EXPECT_LE(cluster.world.engine.now - requested_at, 120 * kMillisecond);
   }
 }
 
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -16,72 +16,73 @@
 namespace aspenwick::share {
 namespace {
 
-constexpr Micros kStart = 1000 * kSecond;
-constexpr Micros kWallClock = 2'000'000 * kSecond;
+constexpr Micros kStartTime = 1000 * kSecond;
+constexpr Micros kStartWallClock = 2'000'000 * kSecond;
 
-class Player {
+class TracePlayer {
  public:
   std::vector<std::string> play(const std::string& line) {
-    out_.clear();
+    output_.clear();
     std::istringstream in(line);
     double at = 0;
     std::string event;
     in >> at >> event;
-    now_ = kStart + from_seconds(at);
-    words_.clear();
-    keys_.clear();
+    now_ = kStartTime + from_seconds(at);
+    arguments_.clear();
+    options_.clear();
     for (std::string w; in >> w;) {
       const auto eq = w.find('=');
       if (eq == std::string::npos)
-        words_.push_back(w);
+        arguments_.push_back(w);
       else
-        keys_[w.substr(0, eq)] = w.substr(eq + 1);
+        options_[w.substr(0, eq)] = w.substr(eq + 1);
     }
-    if (!controller_event(event) && !ownership_event(event) && !graph_event(event))
-      out_.push_back("unknown event");
-    follow_graph();
-    return out_;
+    if (!handle_controller_event(event) && !handle_ownership_event(event) && !handle_graph_event(event))
+      output_.push_back("unknown event");
+    apply_graph_changes();
+    return output_;
   }
 
  private:
-  std::string key(const std::string& k, const std::string& fallback) const {
-    auto it = keys_.find(k);
-    return it == keys_.end() ? fallback : it->second;
+  std::string option(const std::string& k, const std::string& fallback) const {
+    auto it = options_.find(k);
+    return it == options_.end() ? fallback : it->second;
   }
-  double number(const std::string& k, double fallback) const {
-    return std::stod(key(k, std::to_string(fallback)));
+  double numeric_option(const std::string& k, double fallback) const {
+    return std::stod(option(k, std::to_string(fallback)));
   }
 
-  static std::uint64_t parse_pair(const std::string& s, char by) {
-    const auto sep = s.find(by);
+  static std::uint64_t parse_packed(const std::string& s, char separator) {
+    const auto sep = s.find(separator);
     const std::uint64_t low = sep == std::string::npos ? 0 : std::stoull(s.substr(sep + 1));
     return (std::stoull(s) << 20) + low;
   }
-  static std::string pair(std::uint64_t v, char by) {
+  static std::string format_packed(std::uint64_t v, char separator) {
     const std::uint64_t low = v & 0xfffff;
-    return std::to_string(v >> 20) + (low || by == '.' ? by + std::to_string(low) : "");
+    return std::to_string(v >> 20) + (low || separator == '.' ? separator + std::to_string(low) : "");
   }
-  static std::string show(const Order& o) {
+  static std::string format_order(const Order& o) {
     static constexpr const char* kVerbs[] = {"launch", "halt", "forget"};
     return std::string(kVerbs[static_cast<int>(o.verb)]) + " " + o.job + "/" + std::to_string(o.index) +
-           " @" + pair(o.attempt, '.') + (o.grace ? " grace " + std::to_string(o.grace / kSecond) : "");
+           " @" + format_packed(o.attempt, '.') +
+           (o.grace ? " grace " + std::to_string(o.grace / kSecond) : "");
   }
 
   /// "j-1/0@3.1:running" or "j-1/0@3.1:ended:done"
-  wire::WorkerReport report(const std::string& machine, std::size_t from) const {
+  wire::WorkerReport parse_report(const std::string& machine, std::size_t first_task) const {
     wire::WorkerReport r;
     r.machine = machine, r.address = "127.0.0.1:9", r.type = "cpu8", r.zone = "z1";
-    r.session = static_cast<std::uint64_t>(number("session", 1));
-    r.seq = static_cast<std::uint64_t>(number("seq", 1));
-    r.token = parse_pair(key("token", "0"), '+');
-    if (keys_.contains("notice")) r.notice = from_seconds(number("notice", 0));
-    for (std::size_t i = from; i < words_.size(); ++i) {
-      const std::string& w = words_[i];
+    r.session = static_cast<std::uint64_t>(numeric_option("session", 1));
+    r.seq = static_cast<std::uint64_t>(numeric_option("seq", 1));
+    r.token = parse_packed(option("token", "0"), '+');
+    if (options_.contains("notice")) r.notice = from_seconds(numeric_option("notice", 0));
+    for (std::size_t i = first_task; i < arguments_.size(); ++i) {
+      const std::string& w = arguments_[i];
       const auto slash = w.find('/'), sign = w.find('@'), colon = w.find(':');
       wire::TaskReport t;
       t.job = w.substr(0, slash);
       t.index = static_cast<std::uint32_t>(std::stoul(w.substr(slash + 1)));
-      t.attempt = parse_pair(w.substr(sign + 1, colon - sign - 1), '.');
+      t.attempt = parse_packed(w.substr(sign + 1, colon - sign - 1), '.');
       const std::string state = w.substr(colon + 1);
       if (state == "running") t.state = wire::TaskState::running;
       if (state == "waiting") t.state = wire::TaskState::waiting;
@@ -100,9 +101,9 @@
     return r;
   }
 
-  bool controller_event(const std::string& event) {
+  bool handle_controller_event(const std::string& event) {
     if (event == "hold") {
-      if (!pipelines_) jobs_.clear();
+      if (!graph_enabled_) jobs_.clear();
       ShareControllerSettings s;
       s.rnn.round_robin_fraction = 0;
       controller_ = std::make_unique<ShareController>(
@@ -111,108 +112,110 @@
             auto it = jobs_.find(id);
             return it == jobs_.end() ? nullptr : &it->second;
           },
-          static_cast<std::uint64_t>(number("epoch", 1)), now_,
-          kStart + from_seconds(number("former_until", 0)));
+          static_cast<std::uint64_t>(numeric_option("epoch", 1)), now_,
+          kStartTime + from_seconds(numeric_option("former_until", 0)));
     } else if (event == "job") {
       auto j = testing::job_json();
-      j["nameId"] = words_.at(0);
-      j["jobclass"] = key("class", "batch");
-      j["owner"] = key("team", "red");
-      j["shape"] = key("shape", "array");
-      j["rank"] = key("rank", "low");
-      j["pieces"] = static_cast<int>(number("tasks", 1));
-      j["vcpus"] = number("cpus", 2);
-      j["cards"] = number("gpus", 0);
-      j["guessS"] = number("guess", 30);
-      j["bundle"] = key("image", "img");
-      j["sizeGb"] = number("gb", 1);
-      if (keys_.contains("due")) j["dueS"] = number("due", 0);
-      j["loaner"] = key("spot", "yes") == "yes";
-      j["spread"] = key("spread", "no") == "yes";
-      j["together"] = key("together", "no") == "yes";
-      j["snapshotEveryS"] = number("saves", 0);
-      j["snapshotS"] = number("save_time", 0);
+      j["nameId"] = arguments_.at(0);
+      j["jobclass"] = option("class", "batch");
+      j["owner"] = option("team", "red");
+      j["shape"] = option("shape", "array");
+      j["rank"] = option("rank", "low");
+      j["pieces"] = static_cast<int>(numeric_option("tasks", 1));
+      j["vcpus"] = numeric_option("cpus", 2);
+      j["cards"] = numeric_option("gpus", 0);
+      j["guessS"] = numeric_option("guess", 30);
+      j["bundle"] = option("image", "img");
+      j["sizeGb"] = numeric_option("gb", 1);
+      if (options_.contains("due")) j["dueS"] = numeric_option("due", 0);
+      j["loaner"] = option("spot", "yes") == "yes";
+      j["spread"] = option("spread", "no") == "yes";
+      j["together"] = option("together", "no") == "yes";
+      j["snapshotEveryS"] = numeric_option("saves", 0);
+      j["snapshotS"] = numeric_option("save_time", 0);
       JobRecord r;
       r.spec = std::make_shared<JobSpec>(wire::job_from_json(j));
-      r.submitted = kWallClock;
-      if (pipelines_) {
-        r.submitted = wall();
-        r.version = static_cast<std::uint64_t>(number("version", 1));
+      r.submitted = kStartWallClock;
+      if (graph_enabled_) {
+        r.submitted = wall_clock();
+        r.version = static_cast<std::uint64_t>(numeric_option("version", 1));
         auto spec = *r.spec;
-        spec.job_class = key("class", "batch");
-        std::istringstream needs(key("needs", ""));
+        spec.job_class = option("class", "batch");
+        std::istringstream needs(option("needs", ""));
         for (std::string n; std::getline(needs, n, ',');) spec.needs.push_back(n);
         r.spec = std::make_shared<JobSpec>(spec);
-        jobs_[words_.at(0)] = r;
-        graph_.update(words_.at(0), r);
-        if (controller_ && graph_.is_ready(words_.at(0)) && key("elsewhere", "no") == "no")
-          controller_->on_job_record(words_.at(0), r, key("fresh", "yes") == "yes", now_, wall());
+        jobs_[arguments_.at(0)] = r;
+        graph_.update(arguments_.at(0), r);
+        if (controller_ && graph_.is_ready(arguments_.at(0)) && option("elsewhere", "no") == "no")
+          controller_->on_job_record(arguments_.at(0), r, option("fresh", "yes") == "yes", now_,
+                                     wall_clock());
         return true;
       }
-      jobs_[words_.at(0)] = r;
-      controller_->on_job_record(words_.at(0), r, key("fresh", "yes") == "yes", now_, kWallClock);
+      jobs_[arguments_.at(0)] = r;
+      controller_->on_job_record(arguments_.at(0), r, option("fresh", "yes") == "yes", now_, kStartWallClock);
     } else if (event == "withdrawn" || event == "finished") {
-      JobRecord& r = jobs_.at(words_.at(0));
+      JobRecord& r = jobs_.at(arguments_.at(0));
       r.status = event == "finished" ? wire::JobStatus::done : wire::JobStatus::cancelled;
-      if (event == "finished" && keys_.contains("at"))
-        r.finished = kWallClock + from_seconds(number("at", 0));
-      r.version = static_cast<std::uint64_t>(number("version", 2));
-      graph_.update(words_.at(0), r);
+      if (event == "finished" && options_.contains("at"))
+        r.finished = kStartWallClock + from_seconds(numeric_option("at", 0));
+      r.version = static_cast<std::uint64_t>(numeric_option("version", 2));
+      graph_.update(arguments_.at(0), r);
       r.spec.reset();
       if (!controller_) return true;
-      controller_->on_job_record(words_.at(0), r, false, now_, kWallClock);
+      controller_->on_job_record(arguments_.at(0), r, false, now_, kStartWallClock);
     } else if (event == "machine") {
       MachineRecord m;
-      m.id = words_.at(0), m.address = "127.0.0.1:9", m.type = key("type", "cpu8"),
-      m.zone = key("zone", "z1");
-      m.spot = key("spot", "no") == "yes", m.epoch = static_cast<std::uint64_t>(number("epoch", 0));
-      controller_->on_machine_record(m, key("empty", "no") == "yes", now_);
+      m.id = arguments_.at(0), m.address = "127.0.0.1:9", m.type = option("type", "cpu8"),
+      m.zone = option("zone", "z1");
+      m.spot = option("spot", "no") == "yes",
+      m.epoch = static_cast<std::uint64_t>(numeric_option("epoch", 0));
+      controller_->on_machine_record(m, option("empty", "no") == "yes", now_);
     } else if (event == "loaded") {
-      for (std::size_t i = 0; i + 1 < words_.size(); i += 2)
-        controller_->load_done(words_[i], 0, words_[i + 1], 7);
+      for (std::size_t i = 0; i + 1 < arguments_.size(); i += 2)
+        controller_->load_done(arguments_[i], 0, arguments_[i + 1], 7);
       controller_->finish_loading(now_);
-      say_rebuilt();
+      append_if_rebuilt();
     } else if (event == "report") {
-      auto a = controller_->on_report(report(words_.at(0), 1), now_, of_owner());
+      auto a = controller_->on_report(parse_report(arguments_.at(0), 1), now_, owner_refusal());
       if (!a) {
-        out_.push_back("no right to act");
+        output_.push_back("no right to act");
       } else {
-        out_.push_back("answer token " + pair(a->token, '+'));
-        for (const auto& o : a->orders) out_.push_back(show(o));
+        output_.push_back("answer token " + format_packed(a->token, '+'));
+        for (const auto& o : a->orders) output_.push_back(format_order(o));
       }
-      say_rebuilt();
+      append_if_rebuilt();
     } else if (event == "raise") {
-      controller_->raise_epoch(static_cast<std::uint64_t>(number("epoch", 2)));
+      controller_->raise_epoch(static_cast<std::uint64_t>(numeric_option("epoch", 2)));
     } else if (event == "tick") {
-      controller_->tick(now_, of_owner());
-      say_rebuilt();
+      controller_->tick(now_, owner_refusal());
+      append_if_rebuilt();
     } else if (event == "push") {
-      for (const auto& p : controller_->take_pushes(now_, 1000, of_owner())) {
-        out_.push_back("push to " + p.machine + " token " + pair(p.token, '+') + " session " +
-                       std::to_string(p.session));
-        for (const auto& o : p.orders) out_.push_back(show(o));
+      for (const auto& p : controller_->take_pushes(now_, 1000, owner_refusal())) {
+        output_.push_back("push to " + p.machine + " token " + format_packed(p.token, '+') + " session " +
+                          std::to_string(p.session));
+        for (const auto& o : p.orders) output_.push_back(format_order(o));
       }
     } else if (event == "pushed") {
-      const int status = std::stoi(words_.at(1));
-      const auto r = report(words_.at(0), 2);
-      controller_->pushed(words_.at(0), status, status ? &r : nullptr, now_);
-      say_rebuilt();
+      const int status = std::stoi(arguments_.at(1));
+      const auto r = parse_report(arguments_.at(0), 2);
+      controller_->pushed(arguments_.at(0), status, status ? &r : nullptr, now_);
+      append_if_rebuilt();
     } else if (event == "where") {
-      for (const auto& s : controller_->describe_attempts()) out_.push_back(s);
+      for (const auto& s : controller_->describe_attempts()) output_.push_back(s);
     } else if (event == "record") {
       for (const auto& w : controller_->take_done_writes(10)) {
-        out_.push_back("write done " + w.job + " chunk " + ShareController::row_name(w.row) + " " + w.text +
-                       " if version " + std::to_string(w.version));
-        controller_->on_done_write_result(w, key("ok", "yes") == "yes",
-                                          static_cast<std::uint64_t>(number("version", 8)));
+        output_.push_back("write done " + w.job + " chunk " + ShareController::row_name(w.row) + " " +
+                          w.text + " if version " + std::to_string(w.version));
+        controller_->on_done_write_result(w, option("ok", "yes") == "yes",
+                                          static_cast<std::uint64_t>(numeric_option("version", 8)));
       }
-      for (const auto& id : controller_->jobs_to_commit()) out_.push_back("complete " + id);
+      for (const auto& id : controller_->jobs_to_commit()) output_.push_back("complete " + id);
     } else if (event == "state") {  // as the leader is told
       for (const auto& m : controller_->machine_states(now_))
-        out_.push_back(m.id + (m.usable ? " usable" : "") + (m.empty ? " empty" : "") +
-                       (m.worker_lost ? " gone" : ""));
+        output_.push_back(m.id + (m.usable ? " usable" : "") + (m.empty ? " empty" : "") +
+                          (m.worker_lost ? " gone" : ""));
     } else if (event == "release") {
-      out_.push_back(controller_->release(words_.at(0), now_) ? "released" : "kept");
+      output_.push_back(controller_->release(arguments_.at(0), now_) ? "released" : "kept");
     } else {
       return false;
     }
@@ -220,114 +223,118 @@
   }
 
   /// What an event says of the owner's right to start tasks.
-  place::StartRefusal of_owner() {
-    if (key("lease", "valid") != "valid") return place::StartRefusal::lease_not_valid;
-    if (key("records", "fresh") != "fresh") return place::StartRefusal::records_stale;
+  place::StartRefusal owner_refusal() {
+    if (option("lease", "valid") != "valid") return place::StartRefusal::lease_not_valid;
+    if (option("records", "fresh") != "fresh") return place::StartRefusal::records_stale;
     return place::StartRefusal::none;
   }
 
-  Micros wall() const { return kWallClock + now_ - kStart; }
+  Micros wall_clock() const { return kStartWallClock + now_ - kStartTime; }
 
   /// What the graph of jobs says: whom it lets start, what it makes of priority and deadline, who is
   /// cancelled.
-  bool graph_event(const std::string& event) {
+  bool handle_graph_event(const std::string& event) {
     if (event == "pipelines") {
-      pipelines_ = true;
+      graph_enabled_ = true;
     } else if (event == "told") {
-      const auto& r = jobs_.at(words_.at(0));
-      out_.push_back(graph_.has_cancelled_dependency(words_.at(0)) || r.status == wire::JobStatus::cancelled
-                         ? "withdrawn"
-                     : r.status == wire::JobStatus::done        ? "done"
-                     : !graph_.dependencies_known(words_.at(0)) ? "nothing yet: ask again"
-                     : graph_.is_ready(words_.at(0))            ? "may start"
-                                                                : "queued");
+      const auto& r = jobs_.at(arguments_.at(0));
+      output_.push_back(graph_.has_cancelled_dependency(arguments_.at(0)) ||
+                                r.status == wire::JobStatus::cancelled
+                            ? "withdrawn"
+                        : r.status == wire::JobStatus::done            ? "done"
+                        : !graph_.dependencies_known(arguments_.at(0)) ? "nothing yet: ask again"
+                        : graph_.is_ready(arguments_.at(0))            ? "may start"
+                                                                       : "queued");
     } else if (event == "to_withdraw") {
       std::string all;
       for (const auto& id : graph_.to_cancel()) all += " " + id;
-      out_.push_back("records to follow:" + all);
+      output_.push_back("records to follow:" + all);
     } else {
       return false;
     }
     return true;
   }
 
-  void follow_graph() {
+  void apply_graph_changes() {
     static constexpr const char* kRanks[] = {"low", "normal", "high", "production"};
     for (const auto& id : graph_.take_changed()) {
       const auto& r = jobs_.at(id);
       const auto c = graph_.scheduling_goals(id, r);
-      out_.push_back(id +
-                     (graph_.is_ready(id) ? " ready since " + std::to_string((c.ready - kWallClock) / kSecond)
-                                          : " waits") +
-                     ", " + kRanks[static_cast<int>(c.rank)] +
-                     (c.finish_by ? ", by " + std::to_string((*c.finish_by - kWallClock) / kSecond) : ""));
+      output_.push_back(
+          id +
+          (graph_.is_ready(id) ? " ready since " + std::to_string((c.ready - kStartWallClock) / kSecond)
+                               : " waits") +
+          ", " + kRanks[static_cast<int>(c.rank)] +
+          (c.finish_by ? ", by " + std::to_string((*c.finish_by - kStartWallClock) / kSecond) : ""));
       if (!controller_ || !graph_.is_ready(id)) continue;
-      controller_->on_job_record(id, r, graph_.ready_version(id) > 100, now_, wall());
-      controller_->set_priority_and_deadline(id, c, now_, wall());
+      controller_->on_job_record(id, r, graph_.ready_version(id) > 100, now_, wall_clock());
+      controller_->set_priority_and_deadline(id, c, now_, wall_clock());
     }
   }
 
-  bool ownership_event(const std::string& event) {
+  bool handle_ownership_event(const std::string& event) {
     if (event == "granted") {
-      own_.lease_granted(std::stoull(words_.at(0)), now_);
+      ownership_.lease_granted(std::stoull(arguments_.at(0)), now_);
     } else if (event == "renewed") {
-      own_.lease_renewed(now_);
+      ownership_.lease_renewed(now_);
     } else if (event == "lost") {
-      own_.lease_lost();
+      ownership_.lease_lost();
     } else if (event == "holder") {
-      const int share = std::stoi(words_.at(0));
-      if (words_.at(1) == "gone")
-        own_.owner_removed(share, now_);
+      const int share = std::stoi(arguments_.at(0));
+      if (arguments_.at(1) == "gone")
+        ownership_.owner_removed(share, now_);
       else
-        own_.owner_set(share,
-                       {words_.at(1), static_cast<std::uint64_t>(number("lease", 0)), 1,
-                        static_cast<std::uint64_t>(number("version", 1))},
-                       now_);
+        ownership_.owner_set(share,
+                             {arguments_.at(1), static_cast<std::uint64_t>(numeric_option("lease", 0)), 1,
+                              static_cast<std::uint64_t>(numeric_option("version", 1))},
+                             now_);
     } else if (event == "peer") {
-      const Micros since = peer_since_.try_emplace(words_.at(0), now_).first->second;
-      own_.peer_reported(words_.at(0),
-                         {key("state", "ok") == "ok", true, static_cast<std::uint64_t>(number("lease", 0)),
-                          now_, key("knows", "all") == "all", since,
-                          std::vector(3, static_cast<std::uint64_t>(number("epoch", 1)))});
+      const Micros since = peer_first_seen_.try_emplace(arguments_.at(0), now_).first->second;
+      ownership_.peer_reported(
+          arguments_.at(0),
+          {option("state", "ok") == "ok", true, static_cast<std::uint64_t>(numeric_option("lease", 0)), now_,
+           option("knows", "all") == "all", since,
+           std::vector(3, static_cast<std::uint64_t>(numeric_option("epoch", 1)))});
     } else if (event == "began") {  // a new process of that peer
-      peer_since_.erase(words_.at(0));
+      peer_first_seen_.erase(arguments_.at(0));
     } else if (event == "read") {
-      own_.records_read(now_);
+      ownership_.records_read(now_);
     } else if (event == "ask") {
       std::string take, back;
-      for (int s : own_.shares_to_take(now_)) take += " " + std::to_string(s);
-      if (auto b = own_.share_to_hand_back(now_)) back = std::to_string(*b);
-      out_.push_back(std::string("lease ") + (own_.lease_valid(now_) ? "valid" : "not valid") + ", workers " +
-                     (own_.may_renew_worker_leases(0, now_) ? "renewed" : "not renewed") +
-                     (own_.only_we_lack_state_service(now_) ? ", refused alone" : "") +
-                     (take.empty() ? "" : ", take" + take) + (back.empty() ? "" : ", hand back " + back));
+      for (int s : ownership_.shares_to_take(now_)) take += " " + std::to_string(s);
+      if (auto b = ownership_.share_to_hand_back(now_)) back = std::to_string(*b);
+      output_.push_back(std::string("lease ") + (ownership_.lease_valid(now_) ? "valid" : "not valid") +
+                        ", workers " +
+                        (ownership_.may_renew_worker_leases(0, now_) ? "renewed" : "not renewed") +
+                        (ownership_.only_we_lack_state_service(now_) ? ", refused alone" : "") +
+                        (take.empty() ? "" : ", take" + take) + (back.empty() ? "" : ", hand back " + back));
     } else if (event == "says") {
-      out_.push_back(own_.reports_state_service_reachable(key("answered", "yes") == "yes", now_)
-                         ? "has the state service"
-                         : "lacks it");
+      output_.push_back(ownership_.reports_state_service_reachable(option("answered", "yes") == "yes", now_)
+                            ? "has the state service"
+                            : "lacks it");
     } else if (event == "heartbeat") {
-      out_.push_back("stamp " +
-                     seconds(static_cast<Micros>(heartbeats_.message_for("b", {}, now_).timestamp)));
+      output_.push_back(
+          "stamp " + format_seconds(static_cast<Micros>(heartbeats_.message_for("b", {}, now_).timestamp)));
     } else if (event == "hears") {
       Heartbeat b;
-      b.node = words_.at(0);
-      b.lease = static_cast<std::uint64_t>(number("lease", 0));
-      b.incarnation = static_cast<std::uint64_t>(number("process", 1));
-      b.timestamp = static_cast<std::uint64_t>(number("stamp", 1));
-      if (keys_.contains("echo")) {
-        b.echo_incarnation = static_cast<std::uint64_t>(number("of", kIncarnation));
-        b.echo_timestamp = static_cast<std::uint64_t>(kStart + from_seconds(number("echo", 0)));
+      b.node = arguments_.at(0);
+      b.lease = static_cast<std::uint64_t>(numeric_option("lease", 0));
+      b.incarnation = static_cast<std::uint64_t>(numeric_option("process", 1));
+      b.timestamp = static_cast<std::uint64_t>(numeric_option("stamp", 1));
+      if (options_.contains("echo")) {
+        b.echo_incarnation = static_cast<std::uint64_t>(numeric_option("of", kIncarnation));
+        b.echo_timestamp = static_cast<std::uint64_t>(kStartTime + from_seconds(numeric_option("echo", 0)));
       }
       const auto heard = heartbeats_.heard(b, now_);
-      if (heard.state) own_.peer_reported(b.node, *heard.state);
-      if (heard.state) out_.push_back("said at " + seconds(heard.state->reported_at));
-      if (heard.reply_needed) out_.push_back("answer at once");
+      if (heard.state) ownership_.peer_reported(b.node, *heard.state);
+      if (heard.state) output_.push_back("said at " + format_seconds(heard.state->reported_at));
+      if (heard.reply_needed) output_.push_back("answer at once");
     } else if (event == "renewable") {
-      out_.push_back("for " + std::to_string((renewable_until() - now_) / kSecond) + " s");
+      output_.push_back("for " + std::to_string((latest_renewal_by_former_owner() - now_) / kSecond) + " s");
     } else if (event == "reading") {
-      own_.key_reread_started();
+      ownership_.key_reread_started();
     } else if (event == "keys_read") {
-      own_.key_reread_finished(now_);
+      ownership_.key_reread_finished(now_);
     } else {
       return false;
     }
@@ -335,67 +342,68 @@
   }
 
   /// Of a share, or of one whose only owner so far was this node, and whose key has just gone.
-  Micros renewable_until() const {
-    if (words_.at(0).find_first_not_of("0123456789") == std::string::npos)
-      return own_.former_owners_renew_until(std::stoi(words_.at(0)), now_);
-    Ownership after(own_);
-    constexpr int kUnused = 100;
-    after.owner_set(kUnused, {words_.at(0), static_cast<std::uint64_t>(number("lease", 0)), 1, 1}, now_);
-    after.owner_removed(kUnused, now_);
-    return after.former_owners_renew_until(kUnused, now_);
+  Micros latest_renewal_by_former_owner() const {
+    if (arguments_.at(0).find_first_not_of("0123456789") == std::string::npos)
+      return ownership_.former_owners_renew_until(std::stoi(arguments_.at(0)), now_);
+    Ownership after(ownership_);
+    constexpr int kUnusedShare = 100;
+    after.owner_set(kUnusedShare,
+                    {arguments_.at(0), static_cast<std::uint64_t>(numeric_option("lease", 0)), 1, 1}, now_);
+    after.owner_removed(kUnusedShare, now_);
+    return after.former_owners_renew_until(kUnusedShare, now_);
   }
 
-  static std::string seconds(Micros at) { return std::to_string((at - kStart) / kSecond); }
+  static std::string format_seconds(Micros at) { return std::to_string((at - kStartTime) / kSecond); }
 
-  void say_rebuilt() {
-    if (controller_->rebuilt() && rebuilt_ != controller_.get()) {
-      rebuilt_ = controller_.get();
-      out_.push_back("rebuilt");
+  void append_if_rebuilt() {
+    if (controller_->rebuilt() && reported_rebuilt_ != controller_.get()) {
+      reported_rebuilt_ = controller_.get();
+      output_.push_back("rebuilt");
     }
   }
 
   wire::PlatformSettings platform_ = wire::parse_settings(testing::settings_json().dump());
   std::vector<wire::MachineType> types_ = testing::machine_types();
   std::map<std::string, JobRecord> jobs_;
-  bool pipelines_ = false;
+  bool graph_enabled_ = false;
   job::DependencyGraph graph_{[this](const std::string& id) -> const JobRecord* {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
   }};
   std::unique_ptr<ShareController> controller_;
-  const ShareController* rebuilt_ = nullptr;
+  const ShareController* reported_rebuilt_ = nullptr;
   static constexpr std::uint64_t kIncarnation = 3;
   HeartbeatTracker heartbeats_{"a", kIncarnation};
-  Ownership own_{platform_};
-  std::map<std::string, Micros> peer_since_;
+  Ownership ownership_{platform_};
+  std::map<std::string, Micros> peer_first_seen_;
   Micros now_ = 0;
-  std::vector<std::string> words_, out_;
-  std::map<std::string, std::string> keys_;
+  std::vector<std::string> arguments_, output_;
+  std::map<std::string, std::string> options_;
 };
 
-class Trace : public ::testing::TestWithParam<std::string> {};
+class TraceTest : public ::testing::TestWithParam<std::string> {};
 
-TEST_P(Trace, GoesAsKept) {
+TEST_P(TraceTest, ReplayMatchesExpectedOutput) {
   const std::string path = std::string(TRACES) + "/" + GetParam();
   std::ifstream in(path);
   ASSERT_TRUE(in) << path;
-  Player player;
-  std::ostringstream kept, played;
+  TracePlayer trace_player;
+  std::ostringstream expected, actual;
   int events = 0;
   for (std::string line; std::getline(in, line);) {
-    kept << line << '\n';
+    expected << line << '\n';
     if (line.starts_with("  =")) continue;
-    played << line << '\n';
+    actual << line << '\n';
     if (line.empty() || line[0] == '#') continue;
     ++events;
-    for (const auto& o : player.play(line)) played << "  = " << o << '\n';
+    for (const auto& o : trace_player.play(line)) actual << "  = " << o << '\n';
   }
   EXPECT_GT(events, 3);
-  if (std::getenv("UPDATE_TRACES")) std::ofstream(path) << played.str();
-  EXPECT_EQ(played.str(), kept.str());
+  if (std::getenv("UPDATE_TRACES")) std::ofstream(path) << actual.str();
+  EXPECT_EQ(actual.str(), expected.str());
 }
 
-std::vector<std::string> traces() {
+std::vector<std::string> trace_files() {
   std::vector<std::string> out;
   for (const auto& e : std::filesystem::directory_iterator(TRACES))
     out.push_back(e.path().filename().string());
@@ -403,7 +411,7 @@
   return out;
 }
 
-INSTANTIATE_TEST_SUITE_P(Kept, Trace, ::testing::ValuesIn(traces()), [](const auto& p) {
+INSTANTIATE_TEST_SUITE_P(Replayed, TraceTest, ::testing::ValuesIn(trace_files()), [](const auto& p) {
   std::string name = p.param.substr(0, p.param.find('.'));
   std::replace(name.begin(), name.end(), '-', '_');
   return name;
