--- a/tests/attribution_test.cpp
+++ b/tests/attribution_test.cpp
@@ -1,5 +1,6 @@
-// What a machine reports of a job whose record was not read yet stays in the machine's account: it holds the
-// machine and the task until the records say what it is.
+// Attribution of reported tasks to jobs: tasks that a machine reports of a job whose record is not read yet
+// stay recorded at the machine. The machine is not released and the task is not placed elsewhere until the
+// records show what the task is.
 #include "share_controller_fixture.h"
 
 namespace aspenwick::testing {
@@ -24,7 +25,7 @@
   EXPECT_EQ(controller.attribution_counts().unattributed_attempts, 1U);
   add_record("j-2", 8);
   controller.on_job_record("j-2", records["j-2"], true, now,
-                           now);  // accepted since: it may start where there is room
+                           now);  // accepted since the takeover: it may start where there is room
   run_placement();
   EXPECT_EQ(controller.describe_attempts(),
             (AttemptLines{"i-1 j-1/0 running", "i-2 j-2/0 assigned", "i-2 j-2/1 assigned",
@@ -46,12 +47,12 @@
   EXPECT_EQ(controller.task_counts("j-1")->first, 1U);
   EXPECT_EQ(controller.describe_attempts().size(), 1U);  // task 1
   EXPECT_EQ(controller.attribution_counts().attributed_results, 1U);
-  EXPECT_EQ(controller.take_done_writes(10, now).size(), 1U);  // and it is recorded
+  EXPECT_EQ(controller.take_done_writes(10, now).size(), 1U);  // the result is also written
 }
 
-// A successor reads the rows of its share while the record of a job is still on its way to it.
-// What happened: the row was dropped, tasks that are done were started again, and the row that recorded them
-// was written anew without them. Why: load_done took a job that it didn't know for one that there isn't.
+// A new owner reads the progress rows of its share before the record of a job has arrived. load_done took an
+// unknown job for one that does not exist and dropped the row: tasks that were done were started again, and
+// the row was written again without them.
 TEST_F(AttributionTest, ProgressRowsLoadedBeforeTheJobRecordAreKept) {
   job::DoneSet recorded(3);
   recorded.set(0), recorded.set(1);
@@ -67,7 +68,7 @@
   EXPECT_EQ(controller.done_row_keys("j-1"), (std::vector<std::string>{"j-1/0"}));
 }
 
-// The answers to pushes are reports too.
+// A worker's answer to a push contains a report and is handled like one.
 TEST_F(AttributionTest, TasksInPushAnswersAreAttributedOnceTheRecordArrives) {
   send_report("i-1", {});
   send_report("i-2", {});
@@ -81,7 +82,8 @@
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 running"});
 }
 
-// A job that waits for others has a record and is told to the owner only when it is ready.
+// A job that waits for its dependencies has a record, which reaches the controller only when the job is
+// ready.
 TEST_F(AttributionTest, TasksOfAJobThatIsNotReadyStayUnattributed) {
   add_record("j-1", 2);
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-1", 1)}).empty());
@@ -109,7 +111,7 @@
   EXPECT_EQ(controller.describe_attempts().size(), 4U);  // of 2 CPUs each, 8 in all
 }
 
-// A job accepted through another node a moment before has a record that we may not have read.
+// The record of a job that another node has just accepted may not be read yet.
 TEST_F(AttributionTest, JobIsUnknownForCertainOnlyByRecordsReadAfterTheReport) {
   send_report("i-2", {});
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-2", 0)}).empty());
@@ -130,7 +132,7 @@
   EXPECT_EQ(controller.attribution_counts().dropped_results, 1U);
 }
 
-// Not whole yet, or a row that can't be read: there is such a job all the same.
+// The record is incomplete so far, or one of its rows can't be read: the job exists all the same.
 TEST_F(AttributionTest, RecordWithoutSpecDoesNotMeanThatTheJobIsOver) {
   records["j-1"] = {};
   send_report("i-2", {});
@@ -139,7 +141,8 @@
   run_placement();
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 running"});
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-1", 1)}).empty());
-  EXPECT_TRUE(controller.rebuilt());  // it holds its machine, not the share
+  EXPECT_TRUE(
+      controller.rebuilt());  // it keeps its machine from being released, not the share from being rebuilt
   EXPECT_FALSE(controller.release("i-1", now));
 }
 
--- a/tests/cancellation_broadcast_test.cpp
+++ b/tests/cancellation_broadcast_test.cpp
@@ -1,4 +1,4 @@
-// What processes know of each other's cancellations, number by number.
+// How nodes broadcast numbered cancellations to their peers, and when one may be confirmed to a user.
 #include "share/cancellation_broadcast.h"
 
 #include <gtest/gtest.h>
@@ -32,12 +32,12 @@
   EXPECT_EQ(a.highest_number(), 4U);
 }
 
-// Only what follows without a hole counts as had: the frame before it may have been lost.
+// Only cancellations without a gap before them count as received: an earlier frame may have been lost.
 TEST(CancellationBroadcast, CancellationsAfterAGapAreNotAcknowledged) {
   CancellationBroadcast a("a", 11), b("b", 22);
   a.set_peer_progress("b", 100, 0);
   a.add("j-1", 101);
-  a.set_peer_progress("b", 100, 1);  // said by b's former process
+  a.set_peer_progress("b", 100, 1);  // reported by b's former process
   a.add("j-2", 102);
   EXPECT_FALSE(b.heard(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 0U);
@@ -46,7 +46,7 @@
   EXPECT_EQ(b.received_up_to("a", 11), 2U);
 }
 
-// What a process had told says nothing of what its successor tells.
+// The numbers of a process are unrelated to those of the process that replaces it after a restart.
 TEST(CancellationBroadcast, NumbersOfARestartedProcessStartAgain) {
   CancellationBroadcast former_process("a", 11), new_process("a", 12), b("b", 22);
   for (auto* a : {&former_process, &new_process}) a->set_peer_progress("b", 100, 0);
@@ -59,13 +59,14 @@
   EXPECT_EQ(b.received_up_to("a", 12), 1U);
 }
 
-// Kept within bounds; a peer that lacks what is no longer kept is told nothing that it could take for all.
+// The broadcast keeps at most kMaxKept entries. A peer that misses dropped ones is sent nothing, as it could
+// take the rest for the whole.
 TEST(CancellationBroadcast, PeerThatMissedDroppedCancellationsIsSentNothingUntilItHasRead) {
   CancellationBroadcast a("a", 11), b("b", 22);
   a.set_peer_progress("b", 100, 0);
   for (std::uint64_t i = 1; i <= CancellationBroadcast::kMaxKept + 10; ++i) a.add("j-1", 100 + i);
   EXPECT_FALSE(a.message_for("b"));
-  a.set_peer_progress("b", 110, 0);  // it has read those ten
+  a.set_peer_progress("b", 110, 0);  // it has read the ten dropped ones
   while (const auto notice = a.message_for("b")) {
     EXPECT_LE(encode(*notice).size(), kMaxFrameSize);
     EXPECT_TRUE(b.heard(*notice));
@@ -89,13 +90,13 @@
   for (const bool by_number : {false, true}) {
     pending.add("j-1", 101, cancellations.add("j-1", 101), kNow);
     EXPECT_FALSE(confirmable(kNow));
-    cancellations.set_peer_progress("c", 200, 9);  // somebody else's
+    cancellations.set_peer_progress("c", 200, 9);  // not the owner
     cancellations.set_peer_progress("b", 100, cancellations.highest_number() - 1);
     EXPECT_FALSE(confirmable(kNow));
     cancellations.set_peer_progress("b", by_number ? 100 : 101,
                                     by_number ? cancellations.highest_number() : 0);
     EXPECT_TRUE(confirmable(kNow));
-    cancellations.set_peer_progress("b", 0, 0);  // its process began anew, and will read it
+    cancellations.set_peer_progress("b", 0, 0);  // the owner was restarted, and will read the record
     EXPECT_TRUE(confirmable(kNow));
   }
 }
@@ -105,15 +106,15 @@
   pending.add("j-1", 101, cancellations.add("j-1", 101), kNow);
   EXPECT_FALSE(confirmable(kNow + kDelay - 1));
   pending.add("j-1", 102, cancellations.add("j-1", 102),
-              kNow + kDelay - 1);  // told again: cancelled no later
+              kNow + kDelay - 1);  // learnt of again: the cancellation is no later
   EXPECT_TRUE(confirmable(kNow + kDelay));
   pending.add("j-2", 103, cancellations.add("j-2", 103), kNow);
   pending.add("j-3", 104, cancellations.add("j-3", 104), kNow + kDelay);
-  EXPECT_EQ(pending.size(), 1U);  // nobody asked about the first
+  EXPECT_EQ(pending.size(), 1U);  // j-2 expired without a query
 }
 
-// A peer of a former version tells of it ahead of its record: a revision that others have read proves
-// nothing.
+// A peer of the previous version announces a cancellation ahead of its record, without a revision: that
+// others have read up to some revision proves nothing.
 TEST_F(PendingConfirmationsTest, WithoutARevisionOnlyTheNumberConfirms) {
   pending.add("j-1", 0, cancellations.add("j-1", 0), kNow);
   cancellations.set_peer_progress("b", 1000, 0);
--- a/tests/cancellation_delivery_test.cpp
+++ b/tests/cancellation_delivery_test.cpp
@@ -1,5 +1,6 @@
-// A cancellation that a user was told of reaches whoever answers the job's workers, also one that the state
-// service refuses: the tasks are gone within the time that a cancellation has (design/cancellation.md).
+// A cancellation that was confirmed to a user reaches the node that answers the job's workers, also one that
+// the state service refuses: the tasks are gone within the time allowed for a cancellation
+// (design/cancellation.md).
 #include "node_fixture.h"
 
 namespace aspenwick::testing {
@@ -7,8 +8,9 @@
 
 using net::Method;
 
-/// Node a leads and owns the share of this team; eight long tasks run on its machines. The parameter: what
-/// follows begins only once the user was told, else as soon as the cancellation is committed.
+/// Node a is the leader and owns the share of this team; eight long tasks run on its machines. The parameter:
+/// the fault that follows begins only once the cancellation was confirmed to the user, else as soon as it is
+/// committed.
 struct CancellationDeliveryTest : NodeTest, ::testing::WithParamInterface<bool> {
   CancellationDeliveryTest() {
     world.run_time = 3600 * kSecond;
@@ -24,7 +26,8 @@
     submission["owner"] = "cards";
     EXPECT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
   }
-  /// As a user does: at these nodes in turn, then again and again at the last, until it is confirmed.
+  /// Cancels the job as a user does: at these nodes in turn, then repeatedly at the last one until it
+  /// confirms.
   void cancel(const std::string& id, const std::vector<std::string>& nodes) {
     for (const auto& node : nodes)
       if (record_confirmation(id, world.ask(node, Method::post, cancel_path(id)))) return;
@@ -33,6 +36,7 @@
     for (int i = 0; GetParam() && i < 20 && !world.cancelled.contains(id); ++i) world.engine.run_for(kSecond);
   }
   static std::string cancel_path(const std::string& id) { return "/v1/jobs/" + id + "/withdraw"; }
+  /// Notes when the user was told that the job is cancelled. Returns false if the answer confirms nothing.
   bool record_confirmation(const std::string& id, const Answer& answer) {
     if (answer.status != 200) return false;
     EXPECT_EQ(answer.body.at("status"), "withdrawn");
@@ -47,12 +51,13 @@
       });
     });
   }
-  /// The state service is down for all, for longer than a cancellation has.
+  /// The state service is down for all nodes, for longer than the time allowed for a cancellation.
   void run_outage() {
     world.state_down = true;
     world.engine.run_for(world.cancel_time() + 2 * world.worker_lease());
   }
-  /// All of it, also once the troubles are over.
+  /// Ends all faults, and expects that each cancellation was confirmed and that no cancelled task ran too
+  /// long or task ran twice.
   void expect_no_cancelled_task_ran(const std::vector<std::string>& cancelled = {"j-1"}) {
     world.state_down = false;
     world.state_refuses.clear(), world.cut_off.clear(), world.unanswered.clear(), world.watch_stalls.clear();
@@ -64,7 +69,7 @@
   SmallWorld world;
 };
 
-// The link between the two is broken just then: what the confirming node says once is lost.
+// The link between node a and the confirming node b is broken at that time: a message sent only once is lost.
 TEST_P(CancellationDeliveryTest, LeaderRefusedAloneWithABrokenPeerLinkLearnsOfTheCancellation) {
   world.state_refuses = world.cut_off = {"a"};
   cancel("j-1", {"b"});
@@ -75,7 +80,7 @@
   expect_no_cancelled_task_ran();
 }
 
-// The commit was executed and its answer lost: the user hears of it from a third node, which did not make it.
+// The commit was executed and its answer lost: a third node confirms to the user, which did not write it.
 TEST_P(CancellationDeliveryTest, LeaderRefusedAloneLearnsOfTheCancellationWhenARetryAtAnotherNodeConfirms) {
   world.state_refuses = {"a"};
   world.unanswered = {"b"};
@@ -84,7 +89,7 @@
   expect_no_cancelled_task_ran();
 }
 
-// The same, and that third node has just read the record; no watch has told anybody of it yet.
+// The same, and the third node has just read the record; no watch has delivered it to any node yet.
 TEST_P(CancellationDeliveryTest, LeaderRefusedAloneLearnsOfTheCancellationWhenTheConfirmingNodeReadItOnce) {
   world.state_refuses = {"a"};
   world.unanswered = world.watch_stalls = {"b"};
@@ -94,8 +99,9 @@
   expect_no_cancelled_task_ran();
 }
 
-// Whoever confirmed it ends, and nobody else knows: the leader hears all peers say that they lack the state
-// service too, and one of them is a process that can't know what was confirmed before it.
+// The node that confirmed it crashes, and no other node knows of it: all peers report to the leader that they
+// cannot reach the state service either, but one of them is a process that began after the confirmation and
+// can't know of it.
 TEST_P(CancellationDeliveryTest, RestartedPeerDoesNotConfirmRenewalsPastTheCancellation) {
   world.state_refuses = world.cut_off = {"a", "c"};
   cancel("j-1", {"b"});
@@ -108,7 +114,8 @@
   expect_no_cancelled_task_ran();
 }
 
-// Two refusals of the leader in a row, each with cancellations and an outage right after it.
+// The state service refuses the leader twice in a row, each time with a cancellation and an outage right
+// after.
 TEST_P(CancellationDeliveryTest, LeaderRefusedTwiceLearnsOfBothCancellations) {
   submit("j-2");
   world.engine.run_for(20 * kSecond);
@@ -125,8 +132,9 @@
   expect_no_cancelled_task_ran({"j-1", "j-2"});
 }
 
-// Another node has taken the share when the outage begins: the former leader, whom nobody told that, must not
-// go on with workers that only it reaches. When the outage is over their tasks start elsewhere at once.
+// Another node has taken the share when the outage begins. The former leader has not learnt of that and must
+// not go on renewing workers that only it reaches: when the outage is over, their tasks start elsewhere at
+// once.
 TEST_P(CancellationDeliveryTest, LeaderWhoseShareWasTakenBeforeTheOutageStopsRenewing) {
   for (Micros outage_delay = 0; outage_delay <= 4 * kSecond; outage_delay += kSecond) {
     SCOPED_TRACE(to_seconds(outage_delay));
@@ -155,7 +163,7 @@
   }
 }
 
-// An outage alone costs nothing: everyone goes on for as long as it takes.
+// An outage alone ends no task: all nodes go on renewing worker leases for as long as it lasts.
 TEST_P(CancellationDeliveryTest, OutageForAllNodesEndsNoTask) {
   submit("j-2");
   world.engine.run_for(20 * kSecond);
@@ -169,9 +177,8 @@
   for (const auto& [task, starts] : world.starts) EXPECT_EQ(starts, 1) << task;
 }
 
-INSTANTIATE_TEST_SUITE_P(FaultStarts, CancellationDeliveryTest, ::testing::Bool(), [](const auto& info) {
-  return info.param ? "OnceTheUserWasTold" : "OnceItIsCommitted";
-});
+INSTANTIATE_TEST_SUITE_P(FaultStarts, CancellationDeliveryTest, ::testing::Bool(),
+                         [](const auto& info) { return info.param ? "AfterConfirmation" : "AfterCommit"; });
 
 }  // namespace
 }  // namespace aspenwick::testing
--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -1,4 +1,4 @@
-// Causes for which a task ran on two machines at once, or again after it was done: each test brings one about
+// Each test reproduces a cause for which a task ran on two machines at once, or again after it was done
 // (docs/incidents/2026-12-02-production.md).
 #include "node_fixture.h"
 #include "share/share_controller.h"
@@ -11,7 +11,7 @@
 constexpr Micros kLongTaskDuration = 3600 * kSecond;
 
 struct DuplicateExecutionTest : NodeTest {
-  /// Node a leads and owns the share of this team.
+  /// Submits a job of a team of share 0; node a is the leader and owns that share.
   void submit_to_share_0(const std::string& id, int tasks) {
     auto submission = job(id, tasks);
     submission["owner"] = "cards";
@@ -24,9 +24,9 @@
   SmallWorld world;
 };
 
-// Node a is cut off from the state service and its peers and goes on answering its workers for a bounded time
-// after its lease. Its successor is killed and back at once, so the share changes owner twice within that
-// time: the second successor has to wait for node a's workers just as the first one had to.
+// Node a is cut off from the state service and its peers and goes on renewing its workers' leases for a
+// bounded time after its own lease. Its successor crashes and restarts at once, so the share changes owner
+// twice within that time: the second successor must wait for node a's workers as the first one did.
 TEST_F(DuplicateExecutionTest, SecondTakeoverWaitsForTheOwnerBeforeTheFirst) {
   for (Micros owned_for = 0; owned_for <= 4 * kSecond; owned_for += kSecond) {
     SCOPED_TRACE(to_seconds(owned_for));
@@ -55,12 +55,12 @@
     local_world.engine.run_for(60 * kSecond);
     EXPECT_EQ(local_world.ran_twice, 0) << local_world.first_twice;
     for (int i = 0; i < 8; ++i)
-      EXPECT_EQ(local_world.starts["j-1/" + std::to_string(i)], 2);  // none is left waiting
+      EXPECT_EQ(local_world.starts["j-1/" + std::to_string(i)], 2);  // no task stays waiting
   }
 }
 
-// Answers to pushes overtake the worker's reports, whose answers renew its lease all the same: when the
-// machine falls silent, its tasks run until a lease after the last report that was answered.
+// Answers to pushes overtake the worker's reports, and the answers to those reports renew its lease all the
+// same: when the machine falls silent, its tasks run until one lease after the last report that was answered.
 TEST_F(DuplicateExecutionTest, AnswersToReportsOvertakenByPushAnswersRenewTheLease) {
   world.push_lost = 0;
   world.engine.run_for(20 * kSecond);
@@ -72,7 +72,7 @@
   const auto machines_running_job = world.machines_of("j-2");
   ASSERT_EQ(machines_running_job.size(), 1U);
   world.report_takes = 400 * kMillisecond;
-  for (int i = 0; i < 30; ++i) {  // a push now and then while reports are on their way
+  for (int i = 0; i < 30; ++i) {  // occasional pushes while reports are in flight
     auto submission = job("j-" + std::to_string(100 + i), 1);
     submission["owner"] = "cards";
     submission["vcpus"] = 0.1, submission["ramGb"] = 0.1;
@@ -85,8 +85,8 @@
   EXPECT_EQ(world.starts["j-2/0"], 2);
 }
 
-// The changes that a node missed are too many, and it reads all keys again, in pages. A machine that it
-// records meanwhile as the leader is on none of the pages read before: it was not removed.
+// A node that missed too many changes reads all keys again, in pages. A machine that it records as the leader
+// meanwhile is missing from the pages read before, which must not count as its removal.
 TEST_F(DuplicateExecutionTest, MachineRecordedDuringAKeyRereadIsNotTreatedAsRemoved) {
   for (Micros reread_delay = 0; reread_delay < 7 * kSecond; reread_delay += kSecond / 2) {
     SCOPED_TRACE(to_seconds(reread_delay));
@@ -120,10 +120,10 @@
 }
 
 // A machine leaves its share with results that only it and the share's owner know. Its next owner does not
-// know whether they are recorded, and may not have them forgotten.
-// What happened: rows of results lagged, the machine counted as empty and was given back, the owner ended,
-// and its successor started the tasks again. Why: an attempt that has exited is in no account of its machine,
-// and `release` asked for attempts alone. The log of the first owner, then of its successor:
+// know whether they are recorded, and must not tell the worker to forget them. The fault: writes of progress
+// rows lagged, the machine counted as empty and was returned, the owner crashed, and its successor started
+// the tasks again. An attempt that has exited is no longer listed at its machine, and `release` checked
+// attempts only. The log of the first owner, then of its successor:
 //   freed j-1/9 try 1048586 on i-100003 session 1 token 1048576: done
 //   machine i-100003 leaves share 0 for -1
 //   start j-1/9 try 2097154 on i-100002 session 1 token 2097152 by push
@@ -142,11 +142,10 @@
   for (const auto& task : completed_tasks) EXPECT_EQ(world.starts[task], 1) << task;
 }
 
-// A machine's report names a task of a job whose record has not been read yet. Once it has, the task is not
-// free.
-// What happened: the task was placed a second time, here on the very machine that runs it. Why: a report of
-// an unknown job was left out of the account, though the machine counted as accounted for, so that the job's
-// record, when it came, found all its tasks free. The owner's log, after the report of j-1/0:
+// A machine reports a task of a job whose record has not been read yet; once it is read, the task must not be
+// placed again. The fault: a reported task of an unknown job was dropped although the machine counted as
+// accounted for, so when the job's record arrived, all its tasks counted as not placed, and the task was
+// placed again, here on the machine that runs it. The owner's log, after the report of j-1/0:
 //   share 0: rebuilt, 2 machines, 0 jobs
 //   place j-1/0 try 2097153 on i-1 q 0.5000 of 2 with room
 TEST_F(DuplicateExecutionTest, RunningTaskOfAnUnknownJobIsNotPlacedAgain) {
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -1,4 +1,4 @@
-// Settings and messages that several tests use.
+// Platform settings, a job submission and machine types that several tests share.
 #pragma once
 #include "wire/settings.h"
 
--- a/tests/held_results_test.cpp
+++ b/tests/held_results_test.cpp
@@ -1,5 +1,5 @@
-// Results that only a worker and the owner of its share know: the machine stays in the share, and the worker
-// is not told to forget, until a row holds them or their job is over.
+// Results that only a worker and the owner of its share know: the machine is not released from the share, and
+// the worker is not told to forget them, until they are written to a progress row or their job is over.
 #include "share_controller_fixture.h"
 
 namespace aspenwick::testing {
@@ -22,10 +22,10 @@
   EXPECT_EQ(releases_refused_for_results(), 1U);
   EXPECT_EQ(controller.held_results(now + kSecond).results, 1U);
   EXPECT_EQ(controller.held_results(now + kSecond).oldest_age, kSecond);
-  // The answer of the commit is lost: executed or not, nothing is recorded as far as we know.
+  // The answer to the commit is lost: whether it was executed or not, the result counts as not recorded.
   auto writes = controller.take_done_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
-  EXPECT_FALSE(controller.release("i-1", now));  // on its way
+  EXPECT_FALSE(controller.release("i-1", now));  // the write is in flight
   controller.on_done_write_result(writes[0], false, 5);
   EXPECT_FALSE(controller.release("i-1", now));
   writes = controller.take_done_writes(10, now);
@@ -48,7 +48,7 @@
   EXPECT_TRUE(controller.release("i-1", now));
 }
 
-// As machines that an owner of an earlier version gave away: that owner alone knows what is recorded.
+// Owners of an earlier version released machines with such results: only that owner knows what is recorded.
 TEST_F(HeldResultsTest, ResultOfForeignJobIsKeptUntilItsOwnerHasRecordedIt) {
   add_record("j-9", 5, "array", "blue");
   EXPECT_TRUE(send_report("i-1", {done_task("j-9", 0), done_task("j-9", 1)}).empty());
@@ -81,7 +81,7 @@
   notice = 20 * kSecond;
   tasks.push_back(done_task("j-3", 0));
   send_report("i-1", tasks);
-  // On the machine that is about to be taken; those of an empty one; the rest.
+  // First results on the machine with a preemption notice, then those of an empty machine, then the rest.
   EXPECT_EQ(next_written_job(), "j-1");
   EXPECT_EQ(next_written_job(), "j-3");
   EXPECT_EQ(next_written_job(), "j-2");
@@ -99,7 +99,8 @@
   EXPECT_EQ(first[0].job, "j-2");
 }
 
-// The worker has forgotten them, so the machine holds nothing; what we know of them is written all the same.
+// The worker has forgotten them, so the machine holds nothing; the results that the owner knows are written
+// all the same.
 TEST_F(HeldResultsTest, ResultsLostWithTheSessionDoNotPreventRelease) {
   add_job("j-1", 5);
   send_report("i-1", {done_task("j-1", 0)});
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -1,5 +1,5 @@
-// The invariants that are checked at run time: in tests a violation aborts, and each of these tests brings
-// one about.
+// The checks on task starts and the invariants that are verified at run time. In tests a violation aborts the
+// process.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -12,14 +12,14 @@
 namespace aspenwick::place {
 namespace {
 
-/// For all tests of the program.
+/// Makes invariant violations abort, in all tests of this program.
 class AbortOnViolation : public ::testing::Environment {
  public:
   void SetUp() override { abort_on_violation(true); }
 };
 const auto* const abort_environment = ::testing::AddGlobalTestEnvironment(new AbortOnViolation);
 
-/// One job of two tasks, the first of which is assigned to a machine that is accounted for.
+/// One job, whose first task is assigned to a machine that is accounted for.
 struct TaskStartTest : ::testing::Test {
   TaskStartTest() {
     MachineRecord record;
@@ -69,8 +69,7 @@
   ownership.lease_granted(7, kNow);
   EXPECT_EQ(ownership.action_refusal(kNow, kNow - share::kMaxRecordsAge), StartRefusal::records_stale);
   EXPECT_EQ(ownership.action_refusal(kNow, kNow - share::kMaxRecordsAge + 1), StartRefusal::none);
-  ownership.lease_renewed(kNow +
-                          100 * kSecond);  // renewed after a pause: the records are as old as they were
+  ownership.lease_renewed(kNow + 100 * kSecond);  // renewed after a pause, which does not refresh the records
   EXPECT_EQ(ownership.action_refusal(kNow + 100 * kSecond, kNow), StartRefusal::records_stale);
 }
 
--- a/tests/share_controller_fixture.h
+++ b/tests/share_controller_fixture.h
@@ -1,4 +1,4 @@
-// One owner with two machines, told of jobs and reports by hand.
+// A share controller with two machines. Tests pass job records and worker reports to it directly.
 #pragma once
 #include <map>
 #include <optional>
@@ -17,6 +17,7 @@
 inline constexpr std::uint64_t kEpoch = 2;
 inline constexpr Micros kStartTime = 1000 * kSecond;
 
+/// The controller owns all teams except "blue"; both machines are empty until their first report.
 struct ShareControllerTest : NodeTest {
   ShareControllerTest() {
     for (const char* id : {"i-1", "i-2"}) {
@@ -26,7 +27,7 @@
     }
     controller.finish_loading(now);
   }
-  /// Its record is there, and the owner has not been told.
+  /// Adds a job record that lookups find, without passing it to the controller.
   void add_record(const std::string& id, int tasks, const std::string& shape = "array",
                   const std::string& team = "red") {
     auto submission = job(id, tasks);
@@ -34,6 +35,7 @@
     submission["owner"] = team;
     records[id].spec = std::make_shared<wire::JobSpec>(wire::job_from_json(submission));
   }
+  /// Passes an added record to the controller, as of a job that may have been started before.
   void deliver_record(const std::string& id) { controller.on_job_record(id, records[id], false, now, now); }
   void add_job(const std::string& id, int tasks, const std::string& shape = "array") {
     add_record(id, tasks, shape);
@@ -45,7 +47,8 @@
   static wire::TaskReport running_task(const std::string& id, std::uint32_t index) {
     return {id, index, 1, wire::TaskState::running, wire::Cause::none, false};
   }
-  /// The tasks that the machine may forget.
+  /// Sends a report of the machine with these tasks and returns those that the answer tells it to forget. The
+  /// records count as stale, so the answer starts nothing.
   std::set<place::TaskKey> send_report(const std::string& machine, std::vector<wire::TaskReport> tasks) {
     wire::WorkerReport r;
     r.machine = machine, r.address = "127.0.0.1:9", r.type = "cpu8", r.zone = "z1";
@@ -64,7 +67,7 @@
     return false;
   }
 
-  /// Plans all teams' jobs but the blue one's.
+  /// The share owns all teams except "blue".
   static share::ShareControllerSettings settings() {
     share::ShareControllerSettings s;
     s.owns_team = [](const std::string& team) { return team != "blue"; };
--- a/tests/stale_records_test.cpp
+++ b/tests/stale_records_test.cpp
@@ -1,13 +1,12 @@
-// Starts, and renewals of workers' leases, that rest on records read too long ago (docs/design/rights.md).
+// Task starts, and renewals of worker leases, that are based on stale records (docs/design/rights.md).
 //
-// What users saw: a job was confirmed as cancelled, and 45 s later a task of it was started again. The order
-// of events: the owner of its share stood still for 57 s. Short outages of the state service in a row
-// restored its lease each time, so that nobody took the share; the machines' leases ran out. Another node
-// cancelled the job. Awake again, the owner renewed its lease, took its machines for free and started the
-// task. It read the cancellation 80 ms later. The evidence: the owner's lease was answered at 135.04 s and
-// its watch, as of before the pause, was followed anew at 135.08 s; the start left at 135.06 s under the
-// token from before the pause. The cause: the right to start was judged by the lease alone, and nothing asked
-// how old the records were.
+// Guards against a cancelled job whose task was started 45 s after the cancellation was confirmed. The
+// share's owner was suspended for 57 s. Short consecutive outages of the state service restored its lease
+// each time, so no node took the share, while the machines' leases expired and another node cancelled the
+// job. When it resumed, the owner renewed its lease (answered at 135.04 s), took its machines for free and
+// sent the start at 135.06 s under the token from before the pause. Its watch resumed at 135.08 s from the
+// revision before the pause, and it read the cancellation 80 ms after the start. The cause: the right to
+// start was decided by the lease alone, without the age of the records.
 #include "users.h"
 
 namespace aspenwick::testing {
@@ -16,11 +15,12 @@
 constexpr Micros kLongTaskDuration = 3600 * kSecond;
 constexpr int kTaskCount = 24;
 constexpr Micros kFreezeDuration = 57 * kSecond;
-constexpr Micros kCancelDelay = 11 * kSecond;  // of the pause; longer than a watch is open
+constexpr Micros kCancelDelay = 11 * kSecond;  // from the start of the freeze; longer than a watch stays open
 
 struct StaleRecordsTest : NodeTest {};
 
-/// Node a has lost the last changes and reads all keys again, in pages of a few keys that take a while each.
+/// Makes node a miss the latest changes, so that it reads all keys again, in pages of `rows_in_page` keys
+/// that take `page_takes` each.
 void force_key_reread(SmallWorld& world, std::size_t rows_in_page, Micros page_takes) {
   world.watch_stalls = {"a"};
   EXPECT_EQ(world.ask("b", net::Method::post, "/v1/jobs", job("j-9", 1)).status, 201);
@@ -40,7 +40,7 @@
   Users users{world};
 };
 
-/// The long tasks of job j-1 run on as many machines of share 0, which node a owns.
+/// Node a owns share 0. Each of the kTaskCount long tasks of job j-1 runs on a machine of its own.
 struct ClusterWithRunningJob : Cluster {
   ClusterWithRunningJob() {
     world.push_lost = 0;
@@ -66,10 +66,10 @@
   for (Micros extra_freeze = 0; extra_freeze < 1300 * kMillisecond; extra_freeze += 50 * kMillisecond) {
     SCOPED_TRACE(to_seconds(extra_freeze));
     ClusterWithRunningJob cluster;
-    cluster.world.report_takes = 300 * kMillisecond;  // some reach the owner just after it is awake
+    cluster.world.report_takes = 300 * kMillisecond;  // some arrive just after the owner resumed
     cluster.world.interrupt_state_service(kFreezeDuration + 5 * kSecond);
     cluster.world.freeze("a", kFreezeDuration + extra_freeze);
-    cluster.world.cut_off = {"a"};  // what its peers tell it is lost
+    cluster.world.cut_off = {"a"};  // frames of its peers are lost
     cluster.world.engine.run_for(kCancelDelay);
     cluster.users.cancel("j-1", "b");
     cluster.world.engine.run_for(kFreezeDuration + extra_freeze - kCancelDelay);
@@ -79,7 +79,7 @@
   }
 }
 
-/// Node a owns share 0, on whose four machines the many short tasks of job j-1 take turns.
+/// Node a owns share 0 with four machines, on which the many short tasks of job j-1 run a few at a time.
 struct ClusterWithQueuedTasks : Cluster {
   ClusterWithQueuedTasks() {
     world.push_lost = 0;
@@ -98,7 +98,7 @@
   }
 };
 
-// The same with nobody standing still: the owner's lease is renewed all the while, its records are being read
+// The same without a suspended node: the owner's lease is renewed throughout while it reads its records
 // again.
 TEST_F(StaleRecordsTest, OwnerRereadingAllKeysStartsNothingCancelledMeanwhile) {
   ClusterWithQueuedTasks cluster;
@@ -113,8 +113,8 @@
   EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
 }
 
-// An owner whose lease is valid renews its workers' leases too: not for longer than a cancellation may stay
-// unknown.
+// An owner with a valid lease renews its workers' leases, but on stale records for no longer than a
+// cancellation may stay unknown to it.
 TEST_F(StaleRecordsTest, WorkerLeasesAreNotRenewedForLongOnStaleRecords) {
   ClusterWithRunningJob cluster;
   cluster.world.cut_off = {"a"};
@@ -127,8 +127,8 @@
   cluster.expect_no_start_after_cancellation();
 }
 
-// A watch that a cut holds, while other requests are answered, costs no start: the changes are asked for
-// beside it.
+// A watch that is held up by a network fault while other requests are answered delays no start: the changes
+// are requested separately as well.
 TEST_F(StaleRecordsTest, HeldWatchNeitherStopsStartsNorHidesACancellation) {
   ClusterWithQueuedTasks cluster;
   cluster.world.cut_off = {"a"};
@@ -143,14 +143,14 @@
   EXPECT_GT(cluster.world.starts.size(), starts_before + 100);  // of j-2
 }
 
-// The leader rents and moves nothing by a view that is being read again.
+// The leader rents and moves no machines by a view that is being read again.
 TEST_F(StaleRecordsTest, LeaderRentsNothingOnAStaleView) {
   ClusterWithQueuedTasks cluster;
   ASSERT_EQ(cluster.world.store.keys.at("s/leader").value.at("node"), "a");
   const auto machines = cluster.world.machines().size();
   force_key_reread(cluster.world, 1, 2 * kSecond);
   cluster.world.engine.run_for(6 * kSecond);
-  cluster.world.most_machines = 100;  // the cloud has more now, and there is work for them
+  cluster.world.most_machines = 100;  // the cloud has more machines now, and there are tasks for them
   cluster.world.engine.run_for(20 * kSecond);
   EXPECT_EQ(cluster.world.machines().size(), machines);
   cluster.world.store.page_takes = 0;
@@ -158,8 +158,8 @@
   EXPECT_GT(cluster.world.machines().size(), machines);
 }
 
-// A leader that stood still sees machines that have not reported to it since, and no other share: it rents
-// nothing for the tasks that it takes for waiting before it has heard of both.
+// A leader that was suspended has machines that have not reported to it since, and no news of other shares.
+// It rents nothing for tasks that seem to wait until it has heard from both.
 TEST_F(StaleRecordsTest, LeaderResumedAfterAFreezeRentsNothingBeforeMachinesReport) {
   for (Micros extra_freeze = 0; extra_freeze < 1300 * kMillisecond; extra_freeze += 100 * kMillisecond) {
     SCOPED_TRACE(to_seconds(extra_freeze));
@@ -174,7 +174,8 @@
   }
 }
 
-// The node that confirms has not read that the share changed its owner: the former one's word is not enough.
+// The confirming node has not read that the share changed owner: that the former owner has acknowledged the
+// cancellation is not enough.
 TEST_F(StaleRecordsTest, FormerOwnersAcknowledgementDoesNotConfirmACancellation) {
   ClusterWithQueuedTasks cluster;
   cluster.world.watch_stalls = {"c"};
@@ -188,13 +189,13 @@
   const auto starts_before = cluster.world.starts.size();
   cluster.users.cancel("j-1", "c");
   cluster.world.engine.run_for(2 * kSecond);
-  ASSERT_GT(cluster.world.starts.size(), starts_before);  // by b, which doesn't know yet
+  ASSERT_GT(cluster.world.starts.size(), starts_before);  // by b, which doesn't know of the cancellation yet
   cluster.world.engine.run_for(8 * kSecond);
   EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
   EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
 }
 
-// Where the owner can be reached, its word costs a round trip and the watch's pause, and no retry.
+// If the owner is reachable, its acknowledgement costs a round trip and the watch's pause, and no retry.
 TEST_F(StaleRecordsTest, CancellationIsConfirmedAtOnceWhenItsOwnerIsReachable) {
   ClusterWithQueuedTasks cluster;
   for (int i = 2; i <= 12; ++i) {
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -1,6 +1,8 @@
-// Plays the kept traces: events in, orders and answers out. A line is an event ("12.5 report i-1 ..."); the
-// indented lines after it, which begin with "=", are all that came of it. Attempts are written epoch.counter,
-// tokens epoch+fence. UPDATE_TRACES=1 rewrites them, for a person to read before they are kept.
+// Replays the traces in tests/traces against the share controller, the ownership rules and the dependency
+// graph, and compares the output with the recorded output. A trace line is an event ("12.5 report i-1 ...",
+// with its time in seconds); the indented lines after it, which begin with "=", are its complete output.
+// Attempts are written epoch.counter, tokens epoch+fence. UPDATE_TRACES=1 rewrites the expected output in
+// place; review the diff before committing it.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -19,8 +21,10 @@
 constexpr Micros kStartTime = 1000 * kSecond;
 constexpr Micros kStartWallClock = 2'000'000 * kSecond;
 
+/// Executes the events of one trace. State is kept between events, so each trace needs its own player.
 class TracePlayer {
  public:
+  /// Executes one event and returns its output lines. Throws if an argument is missing or malformed.
   std::vector<std::string> play(const std::string& line) {
     output_.clear();
     std::istringstream in(line);
@@ -52,6 +56,7 @@
     return std::stod(option(k, std::to_string(fallback)));
   }
 
+  /// Attempts and tokens hold an epoch and, in the low 20 bits, a counter.
   static std::uint64_t parse_packed(const std::string& s, char separator) {
     const auto sep = s.find(separator);
     const std::uint64_t low = sep == std::string::npos ? 0 : std::stoull(s.substr(sep + 1));
@@ -68,7 +73,8 @@
            (o.grace ? " grace " + std::to_string(o.grace / kSecond) : "");
   }
 
-  /// "j-1/0@3.1:running" or "j-1/0@3.1:ended:done"
+  /// Parses a worker's report whose tasks begin at argument `first_task`, each written like
+  /// "j-1/0@3.1:running" or "j-1/0@3.1:ended:done".
   wire::WorkerReport parse_report(const std::string& machine, std::size_t first_task) const {
     wire::WorkerReport r;
     r.machine = machine, r.address = "127.0.0.1:9", r.type = "cpu8", r.zone = "z1";
@@ -210,7 +216,7 @@
                                           static_cast<std::uint64_t>(numeric_option("version", 8)));
       }
       for (const auto& id : controller_->jobs_to_commit()) output_.push_back("complete " + id);
-    } else if (event == "state") {  // as the leader is told
+    } else if (event == "state") {  // the machine states as sent to the leader
       for (const auto& m : controller_->machine_states(now_))
         output_.push_back(m.id + (m.usable ? " usable" : "") + (m.empty ? " empty" : "") +
                           (m.worker_lost ? " gone" : ""));
@@ -222,7 +228,7 @@
     return true;
   }
 
-  /// What an event says of the owner's right to start tasks.
+  /// Why the owner may not start tasks at this event, by its options `lease` and `records`.
   place::StartRefusal owner_refusal() {
     if (option("lease", "valid") != "valid") return place::StartRefusal::lease_not_valid;
     if (option("records", "fresh") != "fresh") return place::StartRefusal::records_stale;
@@ -231,8 +237,8 @@
 
   Micros wall_clock() const { return kStartWallClock + now_ - kStartTime; }
 
-  /// What the graph of jobs says: whom it lets start, what it makes of priority and deadline, who is
-  /// cancelled.
+  /// Handles the events that query the dependency graph: the status that users are told, and the records
+  /// that are still to be cancelled.
   bool handle_graph_event(const std::string& event) {
     if (event == "pipelines") {
       graph_enabled_ = true;
@@ -255,6 +261,8 @@
     return true;
   }
 
+  /// Outputs the readiness, priority and deadline of each job that changed, and passes those of ready jobs to
+  /// the controller.
   void apply_graph_changes() {
     static constexpr const char* kRanks[] = {"low", "normal", "high", "production"};
     for (const auto& id : graph_.take_changed()) {
@@ -295,7 +303,7 @@
           {option("state", "ok") == "ok", true, static_cast<std::uint64_t>(numeric_option("lease", 0)), now_,
            option("knows", "all") == "all", since,
            std::vector(3, static_cast<std::uint64_t>(numeric_option("epoch", 1)))});
-    } else if (event == "began") {  // a new process of that peer
+    } else if (event == "began") {  // the peer was restarted
       peer_first_seen_.erase(arguments_.at(0));
     } else if (event == "read") {
       ownership_.records_read(now_);
@@ -341,7 +349,8 @@
     return true;
   }
 
-  /// Of a share, or of one whose only owner so far was this node, and whose key has just gone.
+  /// The latest time at which a former owner may renew leases of workers. The argument is a share, or a node:
+  /// then that of a share which only this node has owned and whose owner key was just removed.
   Micros latest_renewal_by_former_owner() const {
     if (arguments_.at(0).find_first_not_of("0123456789") == std::string::npos)
       return ownership_.former_owners_renew_until(std::stoi(arguments_.at(0)), now_);
@@ -355,6 +364,7 @@
 
   static std::string format_seconds(Micros at) { return std::to_string((at - kStartTime) / kSecond); }
 
+  /// Outputs "rebuilt" once for each controller, when it is.
   void append_if_rebuilt() {
     if (controller_->rebuilt() && reported_rebuilt_ != controller_.get()) {
       reported_rebuilt_ = controller_.get();
