--- a/tests/share_controller_fixture.h
+++ b/tests/share_controller_fixture.h
@@ -17,7 +17,8 @@
 inline constexpr std::uint64_t kEpoch = 2;
 inline constexpr Micros kStartTime = 1000 * kSecond;
 
-/// The controller owns all teams except "blue"; both machines are empty until their first report.
+/// The controller owns all teams except "blue"; what runs on the machines is not known until their first
+/// report.
 struct ShareControllerTest : NodeTest {
   ShareControllerTest() {
     for (const char* id : {"i-1", "i-2"}) {
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -182,12 +182,12 @@
       controller_->finish_loading(now_);
       append_if_rebuilt();
     } else if (event == "report") {
-      auto a = controller_->on_report(parse_report(arguments_.at(0), 1), now_, owner_refusal());
-      if (!a) {
+      auto answer = controller_->on_report(parse_report(arguments_.at(0), 1), now_, owner_refusal());
+      if (!answer) {
         output_.push_back("no right to act");
       } else {
-        output_.push_back("answer token " + format_packed(a->token, '+'));
-        for (const auto& o : a->orders) output_.push_back(format_order(o));
+        output_.push_back("answer token " + format_packed(answer->token, '+'));
+        for (const auto& o : answer->orders) output_.push_back(format_order(o));
       }
       append_if_rebuilt();
     } else if (event == "raise") {
@@ -267,16 +267,16 @@
     static constexpr const char* kRanks[] = {"low", "normal", "high", "production"};
     for (const auto& id : graph_.take_changed()) {
       const auto& r = jobs_.at(id);
-      const auto c = graph_.scheduling_goals(id, r);
+      const auto goals = graph_.scheduling_goals(id, r);
       output_.push_back(
           id +
-          (graph_.is_ready(id) ? " ready since " + std::to_string((c.ready - kStartWallClock) / kSecond)
+          (graph_.is_ready(id) ? " ready since " + std::to_string((goals.ready - kStartWallClock) / kSecond)
                                : " waits") +
-          ", " + kRanks[static_cast<int>(c.rank)] +
-          (c.finish_by ? ", by " + std::to_string((*c.finish_by - kStartWallClock) / kSecond) : ""));
+          ", " + kRanks[static_cast<int>(goals.rank)] +
+          (goals.finish_by ? ", by " + std::to_string((*goals.finish_by - kStartWallClock) / kSecond) : ""));
       if (!controller_ || !graph_.is_ready(id)) continue;
       controller_->on_job_record(id, r, graph_.ready_version(id) > 100, now_, wall_clock());
-      controller_->set_priority_and_deadline(id, c, now_, wall_clock());
+      controller_->set_priority_and_deadline(id, goals, now_, wall_clock());
     }
   }
 
@@ -308,14 +308,15 @@
     } else if (event == "read") {
       ownership_.records_read(now_);
     } else if (event == "ask") {
-      std::string take, back;
-      for (int s : ownership_.shares_to_take(now_)) take += " " + std::to_string(s);
-      if (auto b = ownership_.share_to_hand_back(now_)) back = std::to_string(*b);
+      std::string to_take, to_hand_back;
+      for (int s : ownership_.shares_to_take(now_)) to_take += " " + std::to_string(s);
+      if (auto share = ownership_.share_to_hand_back(now_)) to_hand_back = std::to_string(*share);
       output_.push_back(std::string("lease ") + (ownership_.lease_valid(now_) ? "valid" : "not valid") +
                         ", workers " +
                         (ownership_.may_renew_worker_leases(0, now_) ? "renewed" : "not renewed") +
                         (ownership_.only_we_lack_state_service(now_) ? ", refused alone" : "") +
-                        (take.empty() ? "" : ", take" + take) + (back.empty() ? "" : ", hand back " + back));
+                        (to_take.empty() ? "" : ", take" + to_take) +
+                        (to_hand_back.empty() ? "" : ", hand back " + to_hand_back));
     } else if (event == "says") {
       output_.push_back(ownership_.reports_state_service_reachable(option("answered", "yes") == "yes", now_)
                             ? "has the state service"
@@ -324,17 +325,18 @@
       output_.push_back(
           "stamp " + format_seconds(static_cast<Micros>(heartbeats_.message_for("b", {}, now_).timestamp)));
     } else if (event == "hears") {
-      Heartbeat b;
-      b.node = arguments_.at(0);
-      b.lease = static_cast<std::uint64_t>(numeric_option("lease", 0));
-      b.incarnation = static_cast<std::uint64_t>(numeric_option("process", 1));
-      b.timestamp = static_cast<std::uint64_t>(numeric_option("stamp", 1));
+      Heartbeat heartbeat;
+      heartbeat.node = arguments_.at(0);
+      heartbeat.lease = static_cast<std::uint64_t>(numeric_option("lease", 0));
+      heartbeat.incarnation = static_cast<std::uint64_t>(numeric_option("process", 1));
+      heartbeat.timestamp = static_cast<std::uint64_t>(numeric_option("stamp", 1));
       if (options_.contains("echo")) {
-        b.echo_incarnation = static_cast<std::uint64_t>(numeric_option("of", kIncarnation));
-        b.echo_timestamp = static_cast<std::uint64_t>(kStartTime + from_seconds(numeric_option("echo", 0)));
+        heartbeat.echo_incarnation = static_cast<std::uint64_t>(numeric_option("of", kIncarnation));
+        heartbeat.echo_timestamp =
+            static_cast<std::uint64_t>(kStartTime + from_seconds(numeric_option("echo", 0)));
       }
-      const auto heard = heartbeats_.heard(b, now_);
-      if (heard.state) ownership_.peer_reported(b.node, *heard.state);
+      const auto heard = heartbeats_.heard(heartbeat, now_);
+      if (heard.state) ownership_.peer_reported(heartbeat.node, *heard.state);
       if (heard.state) output_.push_back("said at " + format_seconds(heard.state->reported_at));
       if (heard.reply_needed) output_.push_back("answer at once");
     } else if (event == "renewable") {
@@ -350,16 +352,16 @@
   }
 
   /// The latest time at which a former owner may renew leases of workers. The argument is a share, or a node:
-  /// then that of a share which only this node has owned and whose owner key was just removed.
+  /// then it is that of a share which only the named node has owned and whose owner key was just removed.
   Micros latest_renewal_by_former_owner() const {
     if (arguments_.at(0).find_first_not_of("0123456789") == std::string::npos)
       return ownership_.former_owners_renew_until(std::stoi(arguments_.at(0)), now_);
-    Ownership after(ownership_);
+    Ownership ownership_after(ownership_);
     constexpr int kUnusedShare = 100;
-    after.owner_set(kUnusedShare,
-                    {arguments_.at(0), static_cast<std::uint64_t>(numeric_option("lease", 0)), 1, 1}, now_);
-    after.owner_removed(kUnusedShare, now_);
-    return after.former_owners_renew_until(kUnusedShare, now_);
+    ownership_after.owner_set(
+        kUnusedShare, {arguments_.at(0), static_cast<std::uint64_t>(numeric_option("lease", 0)), 1, 1}, now_);
+    ownership_after.owner_removed(kUnusedShare, now_);
+    return ownership_after.former_owners_renew_until(kUnusedShare, now_);
   }
 
   static std::string format_seconds(Micros at) { return std::to_string((at - kStartTime) / kSecond); }
