--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -20,7 +20,7 @@
     EXPECT_EQ(w.starts.size(), 8U);
   }
   void submit(const std::string& id) {
-    auto j = job(id, 8);
+    auto j = submission_json(id, 8);
     j["owner"] = "cards";
     EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", j).status, 201);
   }
@@ -134,13 +134,13 @@
     world.run_time = 3600 * kSecond;
     world.push_lost = 0;
     world.engine.run_for(20 * kSecond);
-    auto j = job("j-1", 8);
+    auto j = submission_json("j-1", 8);
     j["owner"] = "cards";
     EXPECT_EQ(world.ask("b", Method::post, "/v1/jobs", j).status, 201);
     world.engine.run_for(20 * kSecond);
     for (const auto& m : world.machines()) world.only_reaches[m] = "a";
     world.run_time = 3 * kSecond;  // leaves machines that the new owner can use at once
-    EXPECT_EQ(world.ask("b", Method::post, "/v1/jobs", job("j-2", 8)).status, 201);
+    EXPECT_EQ(world.ask("b", Method::post, "/v1/jobs", submission_json("j-2", 8)).status, 201);
     world.engine.run_for(15 * kSecond);
     world.run_time = 3600 * kSecond;
     world.state_refuses = {"a"};
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -14,31 +14,31 @@
 namespace {
 
 /// The lines of a kept file: a name, and the rest of its line.
-std::vector<std::pair<std::string, std::string>> kept(const std::string& file) {
+std::vector<std::pair<std::string, std::string>> read_production_data(const std::string& file) {
   std::ifstream in(std::string(KEPT) + "/" + file);
-  std::vector<std::pair<std::string, std::string>> out;
+  std::vector<std::pair<std::string, std::string>> lines;
   for (std::string line; std::getline(in, line);)
     if (const auto space = line.find(' '); !line.empty() && line[0] != '#')
-      out.emplace_back(line.substr(0, space), line.substr(space + 1));
-  EXPECT_GT(out.size(), 4U) << file;
-  return out;
+      lines.emplace_back(line.substr(0, space), line.substr(space + 1));
+  EXPECT_GT(lines.size(), 4U) << file;
+  return lines;
 }
 
 std::string from_hex(const std::string& hex) {
-  std::string out;
+  std::string bytes;
   for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
-    out.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
-  return out;
+    bytes.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
+  return bytes;
 }
 
-TEST(Compatibility, FramesAreThoseOfTheVersionInProduction) {
+TEST(Compatibility, FramesOfTheProductionVersionAreReadAndWrittenUnchanged) {
   // It drops the connection on another version, an unknown type or a byte too many.
-  for (const auto& [name, hex] : kept("production-frames.txt"))
+  for (const auto& [name, hex] : read_production_data("production-frames.txt"))
     EXPECT_EQ(share::encode(share::decode(from_hex(hex))), from_hex(hex)) << name;
 }
 
-TEST(Compatibility, RowsOfTheVersionInProductionAreReadAndWrittenAlike) {
-  for (const auto& [key, text] : kept("production-rows.txt")) {
+TEST(Compatibility, RowsOfTheProductionVersionAreReadAndWrittenUnchanged) {
+  for (const auto& [key, text] : read_production_data("production-rows.txt")) {
     const auto value = wire::Json::parse(text);
     if (key.starts_with("s/job/")) {
       const auto r = job::record_from_json(value, 7);
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(Compatibility, OnlyOptionalFieldsAreAdded) {
+TEST(Compatibility, RecordsAddOnlyOptionalFields) {
   // That version takes from a record `st`, `at` and, unless the job is done, `spec`; the rest it ignores and
   // loses.
   job::JobRecord r;
@@ -80,7 +80,7 @@
   EXPECT_EQ(value, job::record_to_json(r));
 }
 
-TEST(Compatibility, SmallRowsHoldWhatLargeOnesDid) {
+TEST(Compatibility, LargeRecordsAreSplitIntoSmallRowsWithoutLoss) {
   job::JobRecord r;
   auto j = testing::job_json();
   for (int i = 0; i < 3000; ++i) j["waitsOn"].push_back("j-" + std::to_string(100'000 + i));
@@ -91,10 +91,10 @@
   EXPECT_GT(rows.parts.size(), 10U);
   for (const auto& p : rows.parts) EXPECT_LE(wire::Json(p).dump().size(), 1792U);
   EXPECT_EQ(wire::job_to_json(*job::spec_from_parts(rows.parts)), wire::job_to_json(*r.spec));
-  const auto back = job::record_from_json(rows.value, 3);
-  EXPECT_EQ(back.parts, rows.parts.size());
-  EXPECT_EQ(back.parts_tag, "tag");
-  EXPECT_FALSE(back.spec);
+  const auto restored = job::record_from_json(rows.value, 3);
+  EXPECT_EQ(restored.parts, rows.parts.size());
+  EXPECT_EQ(restored.parts_tag, "tag");
+  EXPECT_FALSE(restored.spec);
   // Withdrawn, an old large record must be written again: what stopping its tasks needs is kept.
   j["rigtypes"] = std::vector<std::string>(100, std::string(180, 't'));
   j["jobclass"] = std::string(200, '\1');
@@ -106,9 +106,9 @@
 }
 
 /// An owner of one job of 20,000 tasks, whose whole chunk takes more than a value may.
-class ManyTasks : public ::testing::Test {
+class LargeJobTest : public ::testing::Test {
  protected:
-  ManyTasks() {
+  LargeJobTest() {
     auto settings = testing::settings_json();
     settings["params"]["state"]["next"] = {{"value_kb", 2}};
     platform_ = wire::parse_settings(settings.dump());
@@ -116,25 +116,25 @@
     j["pieces"] = 20'000;
     record_.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(j));
   }
-  std::unique_ptr<share::ShareController> holder() {
-    auto h = std::make_unique<share::ShareController>(
+  std::unique_ptr<share::ShareController> make_controller() {
+    auto controller = std::make_unique<share::ShareController>(
         platform_, types_, share::ShareControllerSettings{}, [this](const std::string&) { return &record_; },
         5, 0, 0);
-    h->on_job_record("j-000412", record_, false, 0, 0);
-    h->on_machine_record({"i-1", "127.0.0.1:9", "cpu8", "z1"}, true, 0);
-    return h;
+    controller->on_job_record("j-000412", record_, false, 0, 0);
+    controller->on_machine_record({"i-1", "127.0.0.1:9", "cpu8", "z1"}, true, 0);
+    return controller;
   }
   /// The machine says that these tasks are done; how many of them it may forget.
-  std::size_t forgets(share::ShareController& h, std::uint32_t from, std::uint32_t to) {
+  std::size_t report_done(share::ShareController& controller, std::uint32_t from, std::uint32_t to) {
     wire::WorkerReport r;
     r.machine = "i-1", r.session = 1, r.seq = ++seq_, r.token = 5ULL << 20;
     for (std::uint32_t i = from; i < to; ++i)
       r.tasks.push_back({"j-000412", i, 1, wire::TaskState::exited, wire::Cause::done, false});
-    return h.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
+    return controller.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
   }
-  static std::vector<share::ShareController::DoneWrite> write(share::ShareController& h) {
-    auto writes = h.take_done_writes(100);
-    for (const auto& w : writes) h.on_done_write_result(w, true, 3);
+  static std::vector<share::ShareController::DoneWrite> write_done_rows(share::ShareController& controller) {
+    auto writes = controller.take_done_writes(100);
+    for (const auto& w : writes) controller.on_done_write_result(w, true, 3);
     return writes;
   }
 
@@ -144,71 +144,72 @@
   std::uint64_t seq_ = 0;
 };
 
-TEST_F(ManyTasks, AChunkThatOutgrowsItsValueIsKeptUnitByUnit) {
-  auto h = holder();
-  h->finish_loading(0);
-  forgets(*h, 0, 300);
-  auto first = write(*h);
-  ASSERT_EQ(first.size(), 1U);
-  EXPECT_EQ(share::ShareController::row_name(first[0].row), "0");  // every version reads this one
-  EXPECT_EQ(forgets(*h, 0, 300), 300U);
-  forgets(*h, 7900, 8300);
-  auto rest = write(*h);
+TEST_F(LargeJobTest, AChunkLargerThanAValueIsStoredInUnits) {
+  auto controller = make_controller();
+  controller->finish_loading(0);
+  report_done(*controller, 0, 300);
+  auto first_writes = write_done_rows(*controller);
+  ASSERT_EQ(first_writes.size(), 1U);
+  EXPECT_EQ(share::ShareController::row_name(first_writes[0].row), "0");  // every version reads this one
+  EXPECT_EQ(report_done(*controller, 0, 300), 300U);
+  report_done(*controller, 7900, 8300);
+  auto later_writes = write_done_rows(*controller);
   std::vector<std::string> names;
-  for (const auto& w : rest) {
+  for (const auto& w : later_writes) {
     names.push_back(share::ShareController::row_name(w.row));
     EXPECT_LE(w.text.size() + 2, platform_.value_room());
   }
   EXPECT_EQ(names, (std::vector<std::string>{"u/3", "u/4"}));
   // An older version could take over, and reads no units: the workers keep those results.
-  EXPECT_EQ(forgets(*h, 7900, 8300), 0U);
-  h->set_all_controllers_read_units(true);
-  EXPECT_EQ(forgets(*h, 7900, 8300), 300U);  // as many as one answer takes
+  EXPECT_EQ(report_done(*controller, 7900, 8300), 0U);
+  controller->set_all_controllers_read_units(true);
+  EXPECT_EQ(report_done(*controller, 7900, 8300), 300U);  // as many as one answer takes
   // A successor finds all of them.
-  auto successor = holder();
-  for (const auto& w : {first[0], rest[0], rest[1]}) successor->load_done("j-000412", w.row, w.text, 3);
+  auto successor = make_controller();
+  for (const auto& w : {first_writes[0], later_writes[0], later_writes[1]})
+    successor->load_done("j-000412", w.row, w.text, 3);
   EXPECT_EQ(successor->task_counts("j-000412")->first, 700U);
 }
 
-TEST_F(ManyTasks, AnOlderVersionsLongRowIsNeverShortened) {
-  auto h = holder();
-  h->load_done("j-000412", 0, std::string(4000, 'f'), 9);
-  h->finish_loading(0);
-  EXPECT_EQ(forgets(*h, 0, 10), 10U);
-  forgets(*h, 16'100, 16'200);
-  const auto writes = write(*h);
+TEST_F(LargeJobTest, ALongRowOfAnOlderVersionIsNotOverwritten) {
+  auto controller = make_controller();
+  controller->load_done("j-000412", 0, std::string(4000, 'f'), 9);
+  controller->finish_loading(0);
+  EXPECT_EQ(report_done(*controller, 0, 10), 10U);
+  report_done(*controller, 16'100, 16'200);
+  const auto writes = write_done_rows(*controller);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(share::ShareController::row_name(writes[0].row), "u/7");
-  EXPECT_EQ(h->done_row_keys("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
+  EXPECT_EQ(controller->done_row_keys("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
 }
 
-TEST(Compatibility, RowsOfUnitsAreNoRowsToAnOlderVersion) {
+TEST(Compatibility, UnitRowNamesAreNotJobIdsToAnOlderVersion) {
   EXPECT_EQ(share::ShareController::parse_row_name("j-1/5"),
             (std::pair<std::string, std::uint32_t>{"j-1", 5}));
-  const std::uint32_t unit = share::ShareController::kFirstUnitRow + 5;
+  const std::uint32_t unit_row = share::ShareController::kFirstUnitRow + 5;
   EXPECT_EQ(share::ShareController::parse_row_name("j-1/u/5"),
-            (std::pair<std::string, std::uint32_t>{"j-1", unit}));
+            (std::pair<std::string, std::uint32_t>{"j-1", unit_row}));
   // It cuts at the last slash and looks the job up by what is before it.
-  const std::string name = "j-1/" + share::ShareController::row_name(unit);
+  const std::string name = "j-1/" + share::ShareController::row_name(unit_row);
   EXPECT_FALSE(wire::valid_job_id(name.substr(0, name.rfind('/'))));
   for (const char* bad : {"", "j-1", "j-1/", "j-1/x", "j-1/u/", "j-1/99999999999"})
     EXPECT_FALSE(share::ShareController::parse_row_name(bad)) << bad;
 }
 
-TEST(Compatibility, ManyMachineTypesTakeSeveralRows) {
-  std::vector<wire::MachineType> types(40, testing::machine_types()[0]), back;
+TEST(Compatibility, ManyMachineTypesAreSplitIntoSeveralRows) {
+  std::vector<wire::MachineType> types(40, testing::machine_types()[0]), restored;
   for (std::size_t i = 0; i < types.size(); ++i) types[i].name = "t" + std::to_string(100 + i);
   const auto rows = job::types_to_rows(types, 1792);
   EXPECT_GT(rows.size(), 1U);
   for (const auto& row : rows) {
     EXPECT_LE(row.dump().size(), 1792U);
     EXPECT_EQ(row.at("rows"), rows.size());
-    for (auto& t : wire::types_from_json(row)) back.push_back(t);
+    for (auto& t : wire::types_from_json(row)) restored.push_back(t);
   }
-  EXPECT_EQ(wire::types_to_json(back), wire::types_to_json(types));
+  EXPECT_EQ(wire::types_to_json(restored), wire::types_to_json(types));
 }
 
-TEST(Compatibility, TypesThatCannotTakeATaskNeedNotBeKept) {
+TEST(Compatibility, UnusableTypesAreDroppedFromASpec) {
   auto j = testing::job_json();
   j["rigtypes"] = {"cpu8", "no-such-type", "gpu4"};
   j["ramGb"] = 40;  // more than a cpu8 has
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -24,80 +24,80 @@
   return g;
 }
 
-TEST(Frame, ComesBackAsItWasSent) {
+TEST(Frame, DecodesWhatWasEncoded) {
   const std::string bytes = encode(full_gossip());
   const auto g = std::get<Gossip>(decode(bytes));
   EXPECT_EQ(encode(g), bytes);
   EXPECT_EQ(g.shares[0].demands[0].waiting, 7U);
   EXPECT_TRUE(g.shares[0].machines[1].suspect);
-  const auto ask =
+  const auto request =
       std::get<ReleaseRequest>(decode(encode(ReleaseRequest{"i-7", -1, true, wire::Rank::production})));
-  EXPECT_EQ(ask.to_share, -1);
-  EXPECT_TRUE(ask.drain);
+  EXPECT_EQ(request.to_share, -1);
+  EXPECT_TRUE(request.drain);
   EXPECT_EQ(std::get<StatusReply>(decode(encode(StatusReply{5, true, 9, 2}))).done, 9U);
 }
 
-TEST(Frame, WhatConfirmsAHolderComesBackAsItWasSent) {
+TEST(Frame, DecodesHeartbeatsAndCancelNotices) {
   Heartbeat b;
   b.node = "rig-1", b.records_synced = true, b.lease = 7, b.incarnation = 8, b.timestamp = 9,
   b.echo_incarnation = 10;
   b.echo_timestamp = 11, b.records_read_to = 12, b.highest_cancellation = 13, b.acked_cancellation = 14,
   b.highest_epochs = {15, 16};
-  const std::string beat = encode(b),
-                    tell = encode(CancelNotice{"rig-1", 8, 3, 5, {{"j-1", 17}, {"j-2", 18}}});
-  const auto back = std::get<Heartbeat>(decode(beat));
-  EXPECT_EQ(encode(back), beat);
-  EXPECT_EQ(back.highest_epochs, b.highest_epochs);
-  EXPECT_EQ(back.highest_cancellation, 13U);
-  const auto told = std::get<CancelNotice>(decode(tell));
-  EXPECT_EQ(encode(told), tell);
-  EXPECT_EQ(told.jobs[1].revision, 18U);
-  for (const auto& good : {beat, tell})
+  const std::string heartbeat_bytes = encode(b),
+                    notice_bytes = encode(CancelNotice{"rig-1", 8, 3, 5, {{"j-1", 17}, {"j-2", 18}}});
+  const auto decoded = std::get<Heartbeat>(decode(heartbeat_bytes));
+  EXPECT_EQ(encode(decoded), heartbeat_bytes);
+  EXPECT_EQ(decoded.highest_epochs, b.highest_epochs);
+  EXPECT_EQ(decoded.highest_cancellation, 13U);
+  const auto notice = std::get<CancelNotice>(decode(notice_bytes));
+  EXPECT_EQ(encode(notice), notice_bytes);
+  EXPECT_EQ(notice.jobs[1].revision, 18U);
+  for (const auto& good : {heartbeat_bytes, notice_bytes})
     for (std::size_t n = 0; n < good.size(); ++n) EXPECT_THROW(decode(good.substr(0, n)), BadFrame);
   EXPECT_THROW(decode(encode(CancelNotice{"rig-1", 8, 6, 5, {}})), BadFrame);
   EXPECT_THROW(decode(encode(CancelNotice{"rig-1", 0, 3, 5, {}})), BadFrame);
 }
 
-TEST(Frame, OneNodeThatHoldsAllStillFits) {
+TEST(Frame, GossipOfANodeThatOwnsAllSharesFits) {
   // At 32 KiB the link dropped whoever held every share of some 400 machines, and its peers took it for dead.
   Gossip g = full_gossip();
-  const ShareReport one = g.shares[0];
+  const ShareReport report = g.shares[0];
   g.shares.clear();
   for (int s = 0; s < 5; ++s) {
-    g.shares.push_back({s, true, std::vector<Demand>(64, one.demands[0]), {}});
-    g.shares.back().machines.assign(200, one.machines[0]);
+    g.shares.push_back({s, true, std::vector<Demand>(64, report.demands[0]), {}});
+    g.shares.back().machines.assign(200, report.machines[0]);
   }
   const std::string bytes = encode(g);
   EXPECT_EQ(std::get<Gossip>(decode(bytes)).shares[4].machines.size(), 200U);
 }
 
-TEST(Frame, BytesAreFixed) {
+TEST(Frame, EncodingIsIndependentOfTheMachine) {
   // Big-endian, whatever the machine: magic, version, type, length, then the fields.
   EXPECT_EQ(encode(StatusRequest{0x01020304, "j-1"}),
             std::string("\xA5\xE7\x02\x03\0\0\0\x08\x01\x02\x03\x04\x03j-1", 16));
 }
 
-TEST(Frame, ShortLongAndForeignOnesAreRefused) {
+TEST(Frame, RejectsTruncatedOverlongAndForeignFrames) {
   const std::string good = encode(full_gossip());
   for (std::size_t n = 0; n < good.size(); ++n) EXPECT_THROW(decode(good.substr(0, n)), BadFrame);
   EXPECT_THROW(decode(good + "x"), BadFrame);
-  std::string version = good, magic = good, length = good, type = good;
-  version[2] = 9, magic[0] = 0, length[4] = 0x7f, type[3] = 99;
-  EXPECT_THROW(decode(version), BadFrame);
-  EXPECT_THROW(decode(magic), BadFrame);
-  EXPECT_THROW(frame_length(length.substr(0, kFrameHeaderSize)), BadFrame);
-  EXPECT_THROW(decode(type), BadFrame);
+  std::string bad_version = good, bad_magic = good, bad_length = good, bad_type = good;
+  bad_version[2] = 9, bad_magic[0] = 0, bad_length[4] = 0x7f, bad_type[3] = 99;
+  EXPECT_THROW(decode(bad_version), BadFrame);
+  EXPECT_THROW(decode(bad_magic), BadFrame);
+  EXPECT_THROW(frame_length(bad_length.substr(0, kFrameHeaderSize)), BadFrame);
+  EXPECT_THROW(decode(bad_type), BadFrame);
 }
 
-TEST(Frame, GossipThatOneFrameDoesNotHoldGoesInSeveral) {
+TEST(Frame, GossipLargerThanAFrameIsSplit) {
   // A longer frame makes the peer drop the connection: whoever holds thousands of machines would seem dead.
   Gossip g = full_gossip();
-  const ShareReport one = g.shares[0];
+  const ShareReport report = g.shares[0];
   EXPECT_EQ(encode_gossip(g), std::vector<std::string>{encode(g)});  // as ever while it fits
   g.shares.clear();
   for (int s = 0; s < 5; ++s) {
-    g.shares.push_back({s, true, one.demands, {}});
-    g.shares.back().machines.assign(s == 4 ? 9000 : 1000, one.machines[0]);
+    g.shares.push_back({s, true, report.demands, {}});
+    g.shares.back().machines.assign(s == 4 ? 9000 : 1000, report.machines[0]);
   }
   std::map<int, std::size_t> machines;
   for (const auto& frame : encode_gossip(g)) {
@@ -111,7 +111,7 @@
   EXPECT_GT(machines[4], 2000U);  // as many as fit
 }
 
-TEST(Frame, DamageNeverDoesMoreThanThrow) {
+TEST(Frame, CorruptedFramesOnlyThrowBadFrame) {
   std::mt19937 random(11);
   const std::string good = encode(full_gossip());
   int refused = 0;
--- a/tests/graph_test.cpp
+++ b/tests/graph_test.cpp
@@ -10,21 +10,21 @@
 
 class GraphTest : public ::testing::Test {
  protected:
-  void accept(int id, const std::vector<int>& needs, wire::Rank rank = wire::Rank::low) {
+  void add_job(int id, const std::vector<int>& dependency_ids, wire::Rank rank = wire::Rank::low) {
     auto spec = std::make_shared<JobSpec>(wire::job_from_json(testing::job_json()));
-    spec->id = name(id), spec->rank = rank;
-    for (const int n : needs) spec->needs.push_back(name(n));
+    spec->id = job_id(id), spec->rank = rank;
+    for (const int n : dependency_ids) spec->needs.push_back(job_id(n));
     JobRecord r;
     r.spec = spec, r.version = ++version_, r.submitted = kSecond;
-    records_[name(id)] = r;
-    graph_.update(name(id), r);
+    records_[job_id(id)] = r;
+    graph_.update(job_id(id), r);
   }
-  void end(int id, JobStatus status) {
-    JobRecord& r = records_.at(name(id));
+  void set_status(int id, JobStatus status) {
+    JobRecord& r = records_.at(job_id(id));
     r.status = status, r.version = ++version_, r.finished = status == JobStatus::done ? 9 * kSecond : 0;
-    graph_.update(name(id), r);
+    graph_.update(job_id(id), r);
   }
-  static std::string name(int id) { return "j-" + std::to_string(id); }
+  static std::string job_id(int id) { return "j-" + std::to_string(id); }
 
   std::unordered_map<std::string, JobRecord> records_;
   std::uint64_t version_ = 0;
@@ -34,65 +34,65 @@
   }};
 };
 
-TEST_F(GraphTest, AChainAsLongAsYouLikeIsWithdrawnWhole) {
+TEST_F(GraphTest, CancellationPropagatesThroughALongChain) {
   constexpr int kJobs = 50'000;  // deep enough to end a recursion
-  accept(0, {});
-  for (int i = 1; i < kJobs; ++i) accept(i, {i - 1});
-  EXPECT_FALSE(graph_.has_cancelled_dependency(name(kJobs - 1)));
-  end(0, JobStatus::cancelled);
-  EXPECT_TRUE(graph_.has_cancelled_dependency(name(1)));
-  EXPECT_TRUE(graph_.has_cancelled_dependency(name(kJobs - 1)));
+  add_job(0, {});
+  for (int i = 1; i < kJobs; ++i) add_job(i, {i - 1});
+  EXPECT_FALSE(graph_.has_cancelled_dependency(job_id(kJobs - 1)));
+  set_status(0, JobStatus::cancelled);
+  EXPECT_TRUE(graph_.has_cancelled_dependency(job_id(1)));
+  EXPECT_TRUE(graph_.has_cancelled_dependency(job_id(kJobs - 1)));
   EXPECT_EQ(graph_.to_cancel().size(), kJobs - 1U);
 }
 
-TEST_F(GraphTest, AWideFanOpensAtOnce) {
+TEST_F(GraphTest, CompletionMakesAllDirectDependentsReady) {
   constexpr int kJobs = 20'000;
-  accept(0, {});
-  for (int i = 1; i < kJobs; ++i) accept(i, {0}, i == 7 ? wire::Rank::high : wire::Rank::low);
-  EXPECT_EQ(graph_.scheduling_goals(name(0), records_.at(name(0))).rank, wire::Rank::high);
-  std::vector<int> all;
-  for (int i = 1; i < kJobs; ++i) all.push_back(i);
-  accept(kJobs, all, wire::Rank::production);
-  EXPECT_EQ(graph_.scheduling_goals(name(5), records_.at(name(5))).rank, wire::Rank::production);
+  add_job(0, {});
+  for (int i = 1; i < kJobs; ++i) add_job(i, {0}, i == 7 ? wire::Rank::high : wire::Rank::low);
+  EXPECT_EQ(graph_.scheduling_goals(job_id(0), records_.at(job_id(0))).rank, wire::Rank::high);
+  std::vector<int> predecessors;
+  for (int i = 1; i < kJobs; ++i) predecessors.push_back(i);
+  add_job(kJobs, predecessors, wire::Rank::production);
+  EXPECT_EQ(graph_.scheduling_goals(job_id(5), records_.at(job_id(5))).rank, wire::Rank::production);
   graph_.take_changed();
-  end(0, JobStatus::done);
+  set_status(0, JobStatus::done);
   EXPECT_EQ(graph_.take_changed().size(), kJobs - 1U);
-  EXPECT_TRUE(graph_.is_ready(name(1)));
-  EXPECT_FALSE(graph_.is_ready(name(kJobs)));
-  EXPECT_EQ(graph_.ready_version(name(1)), records_.at(name(0)).version);
+  EXPECT_TRUE(graph_.is_ready(job_id(1)));
+  EXPECT_FALSE(graph_.is_ready(job_id(kJobs)));
+  EXPECT_EQ(graph_.ready_version(job_id(1)), records_.at(job_id(0)).version);
 }
 
-TEST_F(GraphTest, NamedTwiceInDiamondsItIsCountedOnce) {
-  accept(0, {});
+TEST_F(GraphTest, DependenciesSharedByManyPathsAreCountedOnce) {
+  add_job(0, {});
   for (int layer = 0; layer < 60; ++layer) {  // 2^60 ways through
     const int last = 3 * layer;
-    accept(last + 1, {last});
-    accept(last + 2, {last});
-    accept(last + 3, {last + 1, last + 2}, layer == 59 ? wire::Rank::high : wire::Rank::low);
+    add_job(last + 1, {last});
+    add_job(last + 2, {last});
+    add_job(last + 3, {last + 1, last + 2}, layer == 59 ? wire::Rank::high : wire::Rank::low);
   }
-  EXPECT_EQ(graph_.scheduling_goals(name(0), records_.at(name(0))).rank, wire::Rank::high);
+  EXPECT_EQ(graph_.scheduling_goals(job_id(0), records_.at(job_id(0))).rank, wire::Rank::high);
   graph_.recompute_finish_times();
-  end(180, JobStatus::cancelled);
-  EXPECT_EQ(graph_.scheduling_goals(name(0), records_.at(name(0))).rank, wire::Rank::low);
+  set_status(180, JobStatus::cancelled);
+  EXPECT_EQ(graph_.scheduling_goals(job_id(0), records_.at(job_id(0))).rank, wire::Rank::low);
   for (int i = 0; i < 180; ++i) {
-    EXPECT_TRUE(graph_.is_ready(name(i)));
-    end(i, JobStatus::done);
+    EXPECT_TRUE(graph_.is_ready(job_id(i)));
+    set_status(i, JobStatus::done);
   }
   EXPECT_TRUE(graph_.to_cancel().empty());
 }
 
-TEST_F(GraphTest, SeenAgainARecordChangesNothing) {
-  accept(0, {});
-  accept(1, {0});
-  accept(2, {0, 1});
-  end(0, JobStatus::done);
+TEST_F(GraphTest, RepeatedRecordsChangeNothing) {
+  add_job(0, {});
+  add_job(1, {0});
+  add_job(2, {0, 1});
+  set_status(0, JobStatus::done);
   for (int i = 0; i < 3; ++i) {
-    graph_.update(name(0), records_.at(name(0)));
-    graph_.update(name(1), records_.at(name(1)));
+    graph_.update(job_id(0), records_.at(job_id(0)));
+    graph_.update(job_id(1), records_.at(job_id(1)));
   }
-  EXPECT_FALSE(graph_.is_ready(name(2)));
-  end(1, JobStatus::done);
-  EXPECT_TRUE(graph_.is_ready(name(2)));
+  EXPECT_FALSE(graph_.is_ready(job_id(2)));
+  set_status(1, JobStatus::done);
+  EXPECT_TRUE(graph_.is_ready(job_id(2)));
 }
 
 }  // namespace
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -19,10 +19,10 @@
 namespace aspenwick::net {
 namespace {
 
-using testing::connect_to;
+using testing::connect_to_port;
 using testing::free_port;
 
-TEST(ConnectionsTest, TheLongestIdleOfOthersMakesWay) {
+TEST(ConnectionsTest, TheLongestIdleClientsAreClosedFirst) {
   int ids[20];
   Connections c(20);
   for (int i = 0; i < 10; ++i) c.used(&ids[i], Connections::Owner::machine);
@@ -41,7 +41,7 @@
   EXPECT_EQ(c.machines(), 14U);
 }
 
-TEST(SocketBudgetTest, ThePartsStayWithinTheWhole) {
+TEST(SocketBudgetTest, ThePartsFitTheTotal) {
   auto p = wire::parse_settings(testing::settings_json().dump());
   for (const int sockets : {150, 500, 1200, 1854, 4302, 100'000}) {
     p.sockets = sockets;
@@ -54,81 +54,81 @@
 }
 
 struct HttpTest : ::testing::Test {
-  std::unique_ptr<Server> serve(std::uint16_t port, std::size_t room) {
+  std::unique_ptr<Server> start_server(std::uint16_t port, std::size_t capacity) {
     return std::make_unique<Server>(
         loop.base(), wire::Endpoint{"127.0.0.1", port},
-        Server::Limits{room, 30 * kSecond, [](const std::string& path) { return path == "/machine"; }},
-        [this](const ExchangePtr& x) {
-          ++asked;
-          x->answer(200, "{}");
+        Server::Limits{capacity, 30 * kSecond, [](const std::string& path) { return path == "/machine"; }},
+        [this](const ExchangePtr& exchange) {
+          ++request_count;
+          exchange->answer(200, "{}");
         });
   }
-  void turn_until(const std::function<bool()>& over) {
-    for (int i = 0; i < 20'000 && !over(); ++i) event_base_loop(loop.base(), EVLOOP_NONBLOCK);
-    EXPECT_TRUE(over());
+  void run_until(const std::function<bool()>& condition) {
+    for (int i = 0; i < 20'000 && !condition(); ++i) event_base_loop(loop.base(), EVLOOP_NONBLOCK);
+    EXPECT_TRUE(condition());
   }
   EventLoop loop;
-  int asked = 0;
+  int request_count = 0;
 };
 
-TEST_F(HttpTest, UsersThatIdleMakeWayForMachines) {
+TEST_F(HttpTest, IdleUsersAreClosedWhenMachinesConnect) {
   const auto port = free_port();
-  const auto server = serve(port, 20);
-  std::vector<int> users, machines;
-  auto ask = [&](int fd, const char* path) {
+  const auto server = start_server(port, 20);
+  std::vector<int> user_fds, machine_fds;
+  auto send_request = [&](int fd, const char* path) {
     const std::string text = std::string("GET ") + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     ASSERT_EQ(send(fd, text.data(), text.size(), MSG_NOSIGNAL), static_cast<ssize_t>(text.size()));
-    const int before = asked;
-    turn_until([&] { return asked > before; });
+    const int before = request_count;
+    run_until([&] { return request_count > before; });
   };
-  for (int i = 0; i < 10; ++i) ask(users.emplace_back(connect_to(port)), "/user");
-  for (int i = 0; i < 16; ++i) ask(machines.emplace_back(connect_to(port)), "/machine");
+  for (int i = 0; i < 10; ++i) send_request(user_fds.emplace_back(connect_to_port(port)), "/user");
+  for (int i = 0; i < 16; ++i) send_request(machine_fds.emplace_back(connect_to_port(port)), "/machine");
   EXPECT_EQ(server->connections().machines(), 16U);
   EXPECT_LE(server->connections().open(), 19U);
   char c = 0;
-  turn_until([&] {  // the first user's connection is closed: an end, or an error, after the answer
+  run_until([&] {  // the first user's connection is closed: an end, or an error, after the answer
     ssize_t n = 0;
-    while ((n = recv(users[0], &c, 1, MSG_DONTWAIT)) == 1) {
+    while ((n = recv(user_fds[0], &c, 1, MSG_DONTWAIT)) == 1) {
     }
     return n == 0 || errno != EAGAIN;
   });
-  for (const int fd : users) close(fd);
-  for (const int fd : machines) close(fd);
-  turn_until([&] { return server->connections().open() == 0; });
+  for (const int fd : user_fds) close(fd);
+  for (const int fd : machine_fds) close(fd);
+  run_until([&] { return server->connections().open() == 0; });
 }
 
-TEST_F(HttpTest, PushesKeepWithinTheirConnections) {
+TEST_F(HttpTest, ConcurrentRequestsStayWithinTheConnectionLimit) {
   std::vector<std::unique_ptr<Server>> servers;
-  std::vector<wire::Endpoint> to;
+  std::vector<wire::Endpoint> endpoints;
   for (int i = 0; i < 12; ++i) {
-    to.push_back({"127.0.0.1", free_port()});
-    servers.push_back(serve(to.back().port, 100));
+    endpoints.push_back({"127.0.0.1", free_port()});
+    servers.push_back(start_server(endpoints.back().port, 100));
   }
   Client client(loop.base(), 2, 4);
   int answered = 0;
-  std::size_t most = 0;
+  std::size_t max_open = 0;
   for (int round = 0; round < 5; ++round)
-    for (const auto& e : to)
+    for (const auto& e : endpoints)
       client.request(Method::post, e, "/do", "{}", 5 * kSecond, [&](int status, const std::string&) {
         EXPECT_EQ(status, 200);
         ++answered;
-        most = std::max(most, client.open());
+        max_open = std::max(max_open, client.open());
       });
-  turn_until([&] { return answered == 60; });
-  EXPECT_LE(most, 4U);
-  EXPECT_GE(most, 1U);
+  run_until([&] { return answered == 60; });
+  EXPECT_LE(max_open, 4U);
+  EXPECT_GE(max_open, 1U);
 }
 
-TEST_F(HttpTest, APortStillInUseIsTriedAgain) {
+TEST_F(HttpTest, APortInUseIsRetried) {
   const auto port = free_port();
-  auto former = serve(port, 10);
-  EXPECT_THROW(patiently([&] { return serve(port, 10); }, 3, kMillisecond), std::runtime_error);
-  std::thread end([&] {
+  auto first_server = start_server(port, 10);
+  EXPECT_THROW(patiently([&] { return start_server(port, 10); }, 3, kMillisecond), std::runtime_error);
+  std::thread stopper([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(30));
-    former.reset();
+    first_server.reset();
   });
-  EXPECT_NO_THROW(patiently([&] { return serve(port, 10); }, 10'000, kMillisecond));
-  end.join();
+  EXPECT_NO_THROW(patiently([&] { return start_server(port, 10); }, 10'000, kMillisecond));
+  stopper.join();
 }
 
 }  // namespace
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -12,19 +12,19 @@
 namespace aspenwick::app {
 namespace {
 
-struct Cloud : net::Requester {
-  struct Call {
+struct FakeCloud : net::Requester {
+  struct Request {
     std::string path, body;
-    net::Answered done;
+    net::Answered respond;
   };
-  std::vector<Call> calls;
+  std::vector<Request> pending;
   void request(net::Method, const wire::Endpoint&, const std::string& path, const std::string& body, Micros,
                net::Answered done) override {
-    calls.push_back({path, body, std::move(done)});
+    pending.push_back({path, body, std::move(done)});
   }
-  std::vector<Call> take(const std::string& path) {
-    std::vector<Call> out;
-    for (auto& c : std::exchange(calls, {}))
+  std::vector<Request> take_requests(const std::string& path) {
+    std::vector<Request> out;
+    for (auto& c : std::exchange(pending, {}))
       if (c.path.starts_with(path)) out.push_back(std::move(c));
     return out;
   }
@@ -34,71 +34,72 @@
   wire::PlatformSettings platform = wire::parse_settings(testing::settings_json().dump());
   std::vector<wire::MachineType> types;
   std::map<std::string, share::MachineRecord> machines;
-  Cloud cloud;
+  FakeCloud cloud;
   Micros now = 100 * kSecond;
-  share::Demand waiting;
-  int found = 0;
+  share::Demand demand;
+  int types_received = 0;
   Leader leader{platform,
                 {},
                 types,
                 machines,
                 {[this] { return now; }, cloud,
                  [this] {
-                   return std::vector<share::ShareReport>{{0, true, {waiting}, {}}};
+                   return std::vector<share::ShareReport>{{0, true, {demand}, {}}};
                  },
-                 [this](const auto&) { ++found; }, [](const auto&) {}, [](const auto&) {}}};
+                 [this](const auto&) { ++types_received; }, [](const auto&) {}, [](const auto&) {}}};
   void SetUp() override {
-    waiting.need = {wire::to_units(2), 0, wire::to_units(1)};
-    waiting.waiting = 8, waiting.rank = wire::Rank::high, waiting.slack_ms = 10'000;
+    demand.need = {wire::to_units(2), 0, wire::to_units(1)};
+    demand.waiting = 8, demand.rank = wire::Rank::high, demand.slack_ms = 10'000;
   }
-  void lead(std::uint64_t epoch) {
+  void run_pass(std::uint64_t epoch) {
     now += kSecond / 2;
     leader.run(epoch);
   }
 };
 
-TEST_F(LeaderTest, ReadsTheTypesOnceBeforeItPlansAnything) {
-  lead(1), lead(1), lead(1);
-  auto asked = cloud.take("/flavors");
-  ASSERT_EQ(asked.size(), 1U);  // none while one is on its way
-  asked[0].done(503, "");
-  EXPECT_EQ(found, 0);
-  lead(1);
-  asked = cloud.take("/flavors");
-  ASSERT_EQ(asked.size(), 1U);
-  asked[0].done(200, "not JSON");
-  EXPECT_EQ(found, 0);
-  EXPECT_TRUE(cloud.take("/rentals").empty());
+TEST_F(LeaderTest, RequestsMachineTypesOneAtATimeBeforePlanning) {
+  run_pass(1), run_pass(1), run_pass(1);
+  auto type_requests = cloud.take_requests("/flavors");
+  ASSERT_EQ(type_requests.size(), 1U);  // none while one is on its way
+  type_requests[0].respond(503, "");
+  EXPECT_EQ(types_received, 0);
+  run_pass(1);
+  type_requests = cloud.take_requests("/flavors");
+  ASSERT_EQ(type_requests.size(), 1U);
+  type_requests[0].respond(200, "not JSON");
+  EXPECT_EQ(types_received, 0);
+  EXPECT_TRUE(cloud.take_requests("/rentals").empty());
 }
 
-TEST_F(LeaderTest, AnAnswerToAFormerTimeOfLeadingRentsNothingTwice) {
+TEST_F(LeaderTest, AResponseFromAFormerTermCausesNoRepeatedRental) {
   types = testing::machine_types();
-  for (int i = 0; i < 6; ++i) lead(1);
-  std::vector<Cloud::Call> rents;
-  for (auto& c : cloud.take("/rentals"))
-    if (c.path == "/rentals") rents.push_back(std::move(c));
-  ASSERT_FALSE(rents.empty());
+  for (int i = 0; i < 6; ++i) run_pass(1);
+  std::vector<FakeCloud::Request> rental_requests;
+  for (auto& c : cloud.take_requests("/rentals"))
+    if (c.path == "/rentals") rental_requests.push_back(std::move(c));
+  ASSERT_FALSE(rental_requests.empty());
   leader.step_down();
-  rents[0].done(200, R"({"rigs":["i-000001"]})");  // too late: the next leader finds it in the list
-  for (int i = 0; i < 6; ++i) lead(2);
+  rental_requests[0].respond(200,
+                             R"({"rigs":["i-000001"]})");  // too late: the next leader finds it in the list
+  for (int i = 0; i < 6; ++i) run_pass(2);
   std::set<std::string> bodies;
-  for (const auto& c : rents) bodies.insert(c.body);
-  int again = 0;
-  for (const auto& c : cloud.take("/rentals"))
-    if (c.path == "/rentals") again += !bodies.insert(c.body).second;
-  EXPECT_EQ(again, 0);  // names of requests are never used twice
+  for (const auto& c : rental_requests) bodies.insert(c.body);
+  int repeated = 0;
+  for (const auto& c : cloud.take_requests("/rentals"))
+    if (c.path == "/rentals") repeated += !bodies.insert(c.body).second;
+  EXPECT_EQ(repeated, 0);  // names of requests are never used twice
 }
 
-TEST_F(LeaderTest, KeepsToTheCloudsRate) {
+TEST_F(LeaderTest, StaysWithinTheCloudsRequestRate) {
   types = testing::machine_types();
-  waiting.waiting = 100'000;
-  std::size_t calls = 0;
+  demand.waiting = 100'000;
+  std::size_t request_count = 0;
   for (int i = 0; i < 40; ++i) {
-    lead(1);
-    for (auto& c : cloud.take("/")) c.done(503, ""), ++calls;
+    run_pass(1);
+    for (auto& c : cloud.take_requests("/")) c.respond(503, ""), ++request_count;
   }
-  EXPECT_LE(static_cast<double>(calls), 20 * platform.cloud_rps);
-  EXPECT_GT(calls, 5U);
+  EXPECT_LE(static_cast<double>(request_count), 20 * platform.cloud_rps);
+  EXPECT_GT(request_count, 5U);
 }
 
 }  // namespace
--- a/tests/long_pass_test.cpp
+++ b/tests/long_pass_test.cpp
@@ -10,27 +10,27 @@
 namespace aspenwick::share {
 namespace {
 
-TEST(LongPass, StopsHalfWayAndGoesOnWhereItWas) {
+TEST(SplitPass, ResumesUntilAllTasksArePlaced) {
   const auto platform = wire::parse_settings(testing::settings_json().dump());
   const auto types = testing::machine_types();
   std::map<std::string, JobRecord> jobs;
   Micros now = 1000 * kSecond;
-  ShareController holder(
+  ShareController controller(
       platform, types, {}, [&](const std::string& id) { return &jobs.at(id); }, 1, now, now);
   constexpr int kMachines = 800, kTasks = 2500;  // room for 3,200 tasks
   for (int i = 0; i < kMachines; ++i) {
     MachineRecord m;
     m.id = "i-" + std::to_string(100000 + i), m.address = "127.0.0.1:9", m.type = "cpu8", m.zone = "z1";
-    holder.on_machine_record(m, true, now);
+    controller.on_machine_record(m, true, now);
   }
-  holder.finish_loading(now);
+  controller.finish_loading(now);
   wire::WorkerReport r;
   r.address = "127.0.0.1:9", r.type = "cpu8", r.zone = "z1", r.session = 1, r.seq = 1;
   auto report_all = [&] {
     std::size_t launched = 0;
     for (int i = 0; i < kMachines; ++i) {
       r.machine = "i-" + std::to_string(100000 + i);
-      launched += holder.on_report(r, now, place::StartRefusal::none)->orders.size();
+      launched += controller.on_report(r, now, place::StartRefusal::none)->orders.size();
     }
     ++r.seq;
     r.token = std::uint64_t{1} << place::kEpochShift;
@@ -42,23 +42,23 @@
   JobRecord record;
   record.spec = std::make_shared<JobSpec>(wire::job_from_json(j));
   jobs[record.spec->id] = record;
-  holder.on_job_record(record.spec->id, record, false, now, 0);
+  controller.on_job_record(record.spec->id, record, false, now, 0);
 
-  std::set<std::size_t> steps;
+  std::set<std::size_t> tasks_per_step;
   int passes = 1;
   std::size_t waiting = kTasks;
-  while (holder.tick(now, place::StartRefusal::none)) {
+  while (controller.tick(now, place::StartRefusal::none)) {
     ASSERT_LT(++passes, 20);
-    steps.insert(waiting - holder.waiting_tasks());
-    waiting = holder.waiting_tasks();
+    tasks_per_step.insert(waiting - controller.waiting_tasks());
+    waiting = controller.waiting_tasks();
     now += 15 * kMillisecond;
   }
   EXPECT_GT(passes, 2);
-  EXPECT_EQ(steps.size(), 1U);  // all as long, but for the last
-  EXPECT_LT(*steps.begin(), kTasks / 2);
-  EXPECT_EQ(holder.waiting_tasks(), 0U);
+  EXPECT_EQ(tasks_per_step.size(), 1U);  // all as long, but for the last
+  EXPECT_LT(*tasks_per_step.begin(), kTasks / 2);
+  EXPECT_EQ(controller.waiting_tasks(), 0U);
   EXPECT_EQ(report_all(), static_cast<std::size_t>(kTasks));
-  EXPECT_FALSE(holder.tick(now, place::StartRefusal::none));
+  EXPECT_FALSE(controller.tick(now, place::StartRefusal::none));
 }
 
 }  // namespace
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -30,7 +30,7 @@
 TEST_F(MeetingTest, AMoveThatNeverArrivesLeavesNoMachineToNobody) {
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 8)).status, 201);
+  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-1", 8)).status, 201);
   w.engine.run_for(20 * kSecond);
   int lost = 0;
   w.commit_lost = [&](const std::string& body) {
@@ -49,7 +49,7 @@
   w.run_time = 5 * kSecond;
   w.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 10; ++i)
-    EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 4)).status, 201);
+    EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", submission_json("j-" + std::to_string(i), 4)).status, 201);
   w.state_slow = 3500 * kMillisecond;
   w.engine.run_for(60 * kSecond);
   EXPECT_EQ(w.completed.size(), 40U);
@@ -95,7 +95,7 @@
   int jobs = 0;
   for (const char* owner : {"cards", "red", "cards", "tight"}) {
     for (int i = 0; i < 3; ++i) {
-      auto j = job("j-" + std::to_string(++jobs), 12);
+      auto j = submission_json("j-" + std::to_string(++jobs), 12);
       j["owner"] = owner;
       EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", j).status, 201);
     }
@@ -127,7 +127,7 @@
   w.run_time = 3600 * kSecond;
   w.engine.run_for(20 * kSecond);
   for (const char* owner : {"cards", "red"}) {
-    auto j = job(owner == std::string("red") ? "j-2" : "j-1", 8);
+    auto j = submission_json(owner == std::string("red") ? "j-2" : "j-1", 8);
     j["owner"] = owner;
     EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", j).status, 201);
   }
@@ -164,7 +164,7 @@
   static void work(SmallWorld& w, Users& users, int jobs, int tasks, int from = 1) {
     static const std::vector<std::string> kOwners{"red", "tight", "cards"};
     for (int i = from; i < from + jobs; ++i) {
-      auto j = job("j-" + std::to_string(i), tasks);
+      auto j = submission_json("j-" + std::to_string(i), tasks);
       j["owner"] = kOwners[static_cast<std::size_t>(i) % 3];
       if (i % 3 == 2) j["cards"] = 1.0;
       users.submit(j);
@@ -385,7 +385,7 @@
   w.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 480; ++i) {
     const std::string id = "j-" + std::to_string(i);
-    auto j = job(id, 1);
+    auto j = submission_json(id, 1);
     j["vcpus"] = 0.5, j["ramGb"] = 0.5;
     j["owner"] = i % 2 ? "red" : "tight";
     users.submit(j);
@@ -393,7 +393,7 @@
       w.engine.at(static_cast<Micros>(w.random() % 5000) * kMillisecond, [&users, id] { users.cancel(id); });
     w.engine.run_for(250 * kMillisecond);
     if (i == 240) {
-      auto other = job("j-900", 6);
+      auto other = submission_json("j-900", 6);
       other["owner"] = "cards";
       users.submit(other);
     }
@@ -476,7 +476,7 @@
     w.run_time = 40 * kSecond;
     w.engine.run_for(20 * kSecond);
     for (int i = 1; i <= 6; ++i) {
-      auto j = job("j-" + std::to_string(i), i % 2 == 0 ? 4 : 9);
+      auto j = submission_json("j-" + std::to_string(i), i % 2 == 0 ? 4 : 9);
       if (i % 2 == 0) j["shape"] = "group";
       if (i % 3 == 0) j["site"] = "z2";
       j["together"] = true;
@@ -583,7 +583,7 @@
   w.engine.run_for(20 * kSecond);
   static const char* const kRanks[] = {"low", "high", "normal", "production"};
   for (int i = 1; i <= 16; ++i) {
-    auto j = job("j-" + std::to_string(i), 6);
+    auto j = submission_json("j-" + std::to_string(i), 6);
     j["rank"] = kRanks[i % 4];
     j["owner"] = i % 3 ? "red" : "cards";
     users.submit(j);
@@ -606,7 +606,7 @@
   w.push_lost = 0, w.most_machines = 4;
   w.run_time = kSecond;
   w.engine.run_for(20 * kSecond);
-  auto j = job("j-1", 600);
+  auto j = submission_json("j-1", 600);
   j["owner"] = "cards";
   users.submit(j);
   w.engine.run_for(30 * kSecond);
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -10,7 +10,7 @@
 
 namespace aspenwick::testing {
 
-inline Json job(const std::string& id, int tasks) {
+inline Json submission_json(const std::string& id, int tasks) {
   auto j = job_json();
   j["nameId"] = id;
   j["pieces"] = tasks;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -25,8 +25,9 @@
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
   for (const char* n : {"a", "b", "c"}) EXPECT_EQ(w.ask(n, Method::get, "/ready").status, 200);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", job("j-000001", 20)).status, 201);
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", job("j-000001", 20)).status, 200);  // a retry elsewhere
+  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", submission_json("j-000001", 20)).status, 201);
+  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", submission_json("j-000001", 20)).status,
+            200);  // a retry elsewhere
   EXPECT_TRUE(done_in_time(w, "c", "j-000001"));
   EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-000001").body.at("status"), "done");
   EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-000002").status, 404);
@@ -38,7 +39,8 @@
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 6; ++i)
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 12)).status, 201);
+    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-" + std::to_string(i), 12)).status,
+              201);
   w.engine.run_for(15 * kSecond);  // machines have come, tasks run
   EXPECT_FALSE(w.starts.empty());
   w.crash("a");
@@ -55,7 +57,7 @@
   SmallWorld w;
   w.run_time = 600 * kSecond;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-7", 4)).status, 201);
+  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-7", 4)).status, 201);
   w.engine.run_for(15 * kSecond);
   EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs/j-7/withdraw").body.at("status"), "withdrawn");
   for (const char* n : {"a", "b", "c"})
@@ -67,11 +69,11 @@
 TEST_F(NodeTest, WorkStartsByReportsWherePushesNeverArrive) {
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 60)).status, 201);
+  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-1", 60)).status, 201);
   EXPECT_TRUE(done_in_time(w, "a", "j-1"));
   for (int i = 2; i <= 12; ++i) {  // one task at a time, on machines that are there
     const std::string id = "j-" + std::to_string(i);
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
+    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json(id, 1)).status, 201);
     EXPECT_TRUE(done_in_time(w, "a", id)) << id;
   }
   EXPECT_EQ(w.ran_twice, 0);
@@ -84,7 +86,8 @@
   SmallWorld w(settings);
   w.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 5; ++i)
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 15)).status, 201);
+    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-" + std::to_string(i), 15)).status,
+              201);
   for (int i = 1; i <= 5; ++i) EXPECT_TRUE(done_in_time(w, "b", "j-" + std::to_string(i)));
   EXPECT_EQ(w.store.held_keys_removed, 0);  // no share was ever without an owner
   EXPECT_EQ(w.starts.size(), 75U);
@@ -161,7 +164,8 @@
     if (chance(0.2) && submitted < 12) {
       const std::string id = "j-" + std::to_string(++submitted);
       if (const auto node = any_up(); !node.empty()) {
-        const auto a = w.ask(node, Method::post, "/v1/jobs", job(id, 1 + static_cast<int>(w.random() % 20)));
+        const auto a =
+            w.ask(node, Method::post, "/v1/jobs", submission_json(id, 1 + static_cast<int>(w.random() % 20)));
         if (a.status == 201 || a.status == 200) accepted.insert(id);
       }
     }
@@ -267,7 +271,7 @@
   SmallWorld w;
   w.run_time = 600 * kSecond;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 40)).status, 201);
+  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-1", 40)).status, 201);
   w.engine.run_for(15 * kSecond);
   const auto started = w.starts;
   ASSERT_EQ(started.size(), 40U);
@@ -301,11 +305,11 @@
 TEST_F(NodeTest, ACopyOfItsOwnCommitDoesNotLoseAJobInParts) {
   SmallWorld w({}, 1);
   w.engine.run_for(20 * kSecond);
-  auto last = job("j-900", 2);
+  auto last = submission_json("j-900", 2);
   last["waitsOn"] = Json::array();
   for (int i = 100'001; i <= 100'080; ++i) {
     const std::string id = "j-" + std::to_string(i);
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
+    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json(id, 1)).status, 201);
     last["waitsOn"].push_back(id);
     w.engine.run_for(kSecond);
   }
--- a/tests/outside_input_test.cpp
+++ b/tests/outside_input_test.cpp
@@ -13,8 +13,8 @@
 namespace aspenwick {
 namespace {
 
-std::string damaged(std::string s, std::mt19937& random) {
-  static const std::string kBits = "{}[]\",:0-9eE.+ntf\\u\0\xff";
+std::string mutated(std::string s, std::mt19937& random) {
+  static const std::string kFragments = "{}[]\",:0-9eE.+ntf\\u\0\xff";
   for (auto n = 1 + random() % 4; n > 0 && !s.empty(); --n) {
     const std::size_t at = random() % s.size();
     switch (random() % 4) {
@@ -22,7 +22,7 @@
         s[at] = static_cast<char>(random());
         break;
       case 1:
-        s[at] = kBits[random() % kBits.size()];
+        s[at] = kFragments[random() % kFragments.size()];
         break;
       case 2:
         s.erase(at, 1 + random() % 8);
@@ -35,85 +35,86 @@
 }
 
 /// Swaps one value for another kind of value: what is still JSON gets past the first check.
-std::string swapped(const std::string& text, std::mt19937& random) {
+std::string with_one_value_replaced(const std::string& text, std::mt19937& random) {
   auto j = wire::Json::parse(text).flatten();
-  static const wire::Json kOdd = {nullptr, -1, 1e300, "x", true, 18446744073709551615ULL, wire::Json::array(),
-                                  0.5};
+  static const wire::Json kOddValues = {
+      nullptr, -1, 1e300, "x", true, 18446744073709551615ULL, wire::Json::array(), 0.5};
   auto it = j.begin();
   std::advance(it, static_cast<std::ptrdiff_t>(random() % j.size()));
-  *it = kOdd[random() % kOdd.size()];
+  *it = kOddValues[random() % kOddValues.size()];
   if (it->is_structured()) *it = nullptr;
   return j.unflatten().dump();
 }
 
-void feed(const std::string& good, const std::function<void(const std::string&)>& parse, bool json = true) {
-  EXPECT_NO_THROW(parse(good));
-  std::mt19937 random(good.size());
+void fuzz(const std::string& valid, const std::function<void(const std::string&)>& parse, bool json = true) {
+  EXPECT_NO_THROW(parse(valid));
+  std::mt19937 random(valid.size());
   for (int i = 0; i < 400; ++i) {
-    const std::string bad = json && i % 2 ? swapped(good, random) : damaged(good, random);
+    const std::string invalid =
+        json && i % 2 ? with_one_value_replaced(valid, random) : mutated(valid, random);
     try {
-      parse(bad);
+      parse(invalid);
     } catch (const std::exception&) {  // what every caller catches
     }
   }
 }
 
-TEST(OutsideInput, FromUsersAndThePlatform) {
-  feed(testing::job_json().dump(), [](const std::string& s) { wire::parse_job(s); });
-  feed(testing::settings_json().dump(), [](const std::string& s) { wire::parse_settings(s); });
-  feed(
+TEST(ParserFuzz, UsersAndPlatformSettings) {
+  fuzz(testing::job_json().dump(), [](const std::string& s) { wire::parse_job(s); });
+  fuzz(testing::settings_json().dump(), [](const std::string& s) { wire::parse_settings(s); });
+  fuzz(
       "learner:\n  memory: 0.7\n  sweeps: 5\nrenting:\n  idle_after_s: 30\n",
       [](const std::string& s) { app::parse_operator_settings(s); }, false);
 }
 
-TEST(OutsideInput, FromWorkersAndTheCloud) {
-  feed(
+TEST(ParserFuzz, WorkersAndCloud) {
+  fuzz(
       R"({"rig":"i-000231","endpoint":"10.1.0.232:9000","rigtype":"g8","site":"a","loaner":true,"stint":1,"tally":88,
        "baton":41,"warningS":4.5,"pieces":[{"piece":"j-000412/3","try":2,"status":"running"},
        {"piece":"j-000398/0","try":1,"status":"ended","cause":"done"}]})",
       [](const std::string& s) { wire::parse_report(s); });
-  feed(
+  fuzz(
       R"({"rigtypes":[{"sku":"g8","vcpus":96,"cards":8,"ramGb":768,"localGb":200,"fetchGbPerS":1.0,"price":12.0,
        "lowPrice":4.5,"startupS":45,"sites":["a","b"]}]})",
       [](const std::string& s) { wire::parse_types(s); });
-  feed(R"({"rigs":[{"nameId":"i-000231","endpoint":"10.1.0.232:9000","rigtype":"g8","site":"a","loaner":true,
+  fuzz(R"({"rigs":[{"nameId":"i-000231","endpoint":"10.1.0.232:9000","rigtype":"g8","site":"a","loaner":true,
        "status":"running","ageS":61.5}],"hasNext":false})",
        [](const std::string& s) { wire::parse_cloud_page(s); });
-  feed(R"({"rigs":["i-000231","i-000232"]})", [](const std::string& s) { wire::parse_rented(s); });
+  fuzz(R"({"rigs":["i-000231","i-000232"]})", [](const std::string& s) { wire::parse_rented(s); });
 }
 
-TEST(OutsideInput, FromTheStateService) {
-  feed(R"({"rows":[{"path":"a/b","value":{"n":1},"stamp":412}],"hasNext":true,"ledgerRev":431})",
+TEST(ParserFuzz, StateService) {
+  fuzz(R"({"rows":[{"path":"a/b","value":{"n":1},"stamp":412}],"hasNext":true,"ledgerRev":431})",
        [](const std::string& s) { wire::parse_page(s); });
-  feed(R"({"ledgerRev":433,"news":[{"set":"c/9","value":{"n":1},"stamp":433},{"delete":"c/d","stamp":432}]})",
+  fuzz(R"({"ledgerRev":433,"news":[{"set":"c/9","value":{"n":1},"stamp":433},{"delete":"c/d","stamp":432}]})",
        [](const std::string& s) { wire::parse_changes(s); });
-  feed(R"({"path":"a/b","value":{"n":1},"stamp":412,"hold":7})",
+  fuzz(R"({"path":"a/b","value":{"n":1},"stamp":412,"hold":7})",
        [](const std::string& s) { wire::parse_row(s); });
-  feed(R"({"hold":7})", [](const std::string& s) { wire::parse_lease(s); });
-  feed(R"({"node":"a","lease":7,"epoch":3})",
+  fuzz(R"({"hold":7})", [](const std::string& s) { wire::parse_lease(s); });
+  fuzz(R"({"node":"a","lease":7,"epoch":3})",
        [](const std::string& s) { share::owner_from_json(wire::Json::parse(s), 1); });
-  feed(R"({"share":1,"epoch":3,"addr":"1.2.3.4:5","type":"g8","zone":"a","spot":true})",
+  fuzz(R"({"share":1,"epoch":3,"addr":"1.2.3.4:5","type":"g8","zone":"a","spot":true})",
        [](const std::string& s) { share::machine_from_json("i-000001", wire::Json::parse(s), 1); });
   job::JobRecord record;
   record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(testing::job_json()));
-  feed(job::record_to_json(record).dump(),
+  fuzz(job::record_to_json(record).dump(),
        [](const std::string& s) { job::record_from_json(wire::Json::parse(s), 1); });
   std::mt19937 random(7);
   for (int i = 0; i < 400; ++i) {  // a done-set is text of ours, but it was stored elsewhere
     job::DoneSet done(100);
-    done.merge_chunk(static_cast<std::uint32_t>(random() % 3), damaged("ff07a30", random));
+    done.merge_chunk(static_cast<std::uint32_t>(random() % 3), mutated("ff07a30", random));
     EXPECT_LE(done.count(), 100U);
   }
 }
 
-TEST(OutsideInput, FromPeers) {
+TEST(ParserFuzz, PeerFrames) {
   share::Gossip g;
   g.node = "a";
   g.shares = {{1, true, {share::Demand{}}, {share::MachineState{}}}};
   for (const share::Frame& f : std::initializer_list<share::Frame>{
            g, share::ReleaseRequest{"i-1", 2, true, wire::Rank::high}, share::StatusRequest{1, "j-000001"},
            share::StatusReply{1, true, 2, 3}, share::LegacyCancelNotice{"j-000001"}})
-    feed(
+    fuzz(
         share::encode(f), [](const std::string& s) { share::decode(s); }, false);
 }
 
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -29,7 +29,7 @@
   /// Its record is there, and the owner has not been told.
   void record(const std::string& id, int tasks, const std::string& shape = "array",
               const std::string& team = "red") {
-    auto submission = job(id, tasks);
+    auto submission = submission_json(id, tasks);
     submission["shape"] = shape;
     submission["owner"] = team;
     records[id].spec = std::make_shared<wire::JobSpec>(wire::job_from_json(submission));
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -27,14 +27,16 @@
         });
   }
   ~PeerLinkTest() override {
-    for (const int fd : open_) close(fd);
+    for (const int fd : open_fds_) close(fd);
     link_.reset();
     event_base_free(base_);
   }
   PeerLinkTest(const PeerLinkTest&) = delete;
   PeerLinkTest& operator=(const PeerLinkTest&) = delete;
 
-  int connect_to() { return open_.emplace_back(testing::connect_to(settings_.peer_listen.port)); }
+  int open_connection() {
+    return open_fds_.emplace_back(testing::connect_to_port(settings_.peer_listen.port));
+  }
   static void send_all(int fd, const std::string& bytes) {
     ASSERT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
   }
@@ -58,29 +60,29 @@
   event_base* base_;
   wire::PlatformSettings settings_;
   std::unique_ptr<PeerLink> link_;
-  std::vector<int> open_;
+  std::vector<int> open_fds_;
   int frames_ = 0;
 };
 
-TEST_F(PeerLinkTest, ABadFrameDropsThatConnectionOnly) {
-  const int good = connect_to();
+TEST_F(PeerLinkTest, AnInvalidFrameClosesOnlyItsConnection) {
+  const int good = open_connection();
   expect_served(good);
-  std::string magic = encode(StatusRequest{1, "j"}), version = magic, length = magic;
-  magic[0] = 'G', version[2] = 99, length[4] = 0x7f;
+  std::string bad_magic = encode(StatusRequest{1, "j"}), bad_version = bad_magic, bad_length = bad_magic;
+  bad_magic[0] = 'G', bad_version[2] = 99, bad_length[4] = 0x7f;
   // A body that is shorter than its fields: the header says 1 byte.
-  std::string fields =
-      magic.substr(0, 3) + encode(StatusRequest{1, "j"}).substr(3, 4) + std::string("\x01", 1) + "x";
-  fields[0] = '\xA5';
-  for (const auto& bad : {magic, version, length, fields}) {
-    const int fd = connect_to();
+  std::string bad_fields =
+      bad_magic.substr(0, 3) + encode(StatusRequest{1, "j"}).substr(3, 4) + std::string("\x01", 1) + "x";
+  bad_fields[0] = '\xA5';
+  for (const auto& bad : {bad_magic, bad_version, bad_length, bad_fields}) {
+    const int fd = open_connection();
     send_all(fd, bad);
     EXPECT_EQ(receive(fd), "closed");
     expect_served(good);
   }
 }
 
-TEST_F(PeerLinkTest, AFrameMayComeInPieces) {
-  const int fd = connect_to(), other = connect_to();
+TEST_F(PeerLinkTest, AFrameMayArriveInPieces) {
+  const int fd = open_connection(), other = open_connection();
   const std::string frame = encode(StatusRequest{9, "j-000002"});
   for (const char byte : frame.substr(0, frame.size() - 1)) {
     send_all(fd, std::string(1, byte));
--- a/tests/ran_twice_test.cpp
+++ b/tests/ran_twice_test.cpp
@@ -13,7 +13,7 @@
 struct RanTwiceTest : NodeTest {
   /// Node a leads and owns the share of this team.
   void submit_for_node_a(const std::string& id, int tasks) {
-    auto submission = job(id, tasks);
+    auto submission = submission_json(id, tasks);
     submission["owner"] = "cards";
     ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
   }
@@ -34,7 +34,7 @@
     w.run_time = kLongRun;
     w.push_lost = 0;
     w.engine.run_for(20 * kSecond);
-    auto submission = job("j-1", 8);
+    auto submission = submission_json("j-1", 8);
     submission["owner"] = "cards";
     ASSERT_EQ(w.ask("b", Method::post, "/v1/jobs", submission).status, 201);
     w.engine.run_for(20 * kSecond);
@@ -71,7 +71,7 @@
   ASSERT_EQ(used.size(), 1U);
   world.report_takes = 400 * kMillisecond;
   for (int i = 0; i < 30; ++i) {  // a push now and then while reports are on their way
-    auto submission = job("j-" + std::to_string(100 + i), 1);
+    auto submission = submission_json("j-" + std::to_string(100 + i), 1);
     submission["owner"] = "cards";
     submission["vcpus"] = 0.1, submission["ramGb"] = 0.1;
     ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
@@ -93,7 +93,7 @@
     w.engine.run_for(20 * kSecond);
     ASSERT_EQ(w.store.keys.at("s/leader").value.at("node"), "a");
     auto submit = [&w](const std::string& id) {
-      auto submission = job(id, 24);
+      auto submission = submission_json(id, 24);
       submission["owner"] = "cards";
       ASSERT_EQ(w.ask("a", Method::post, "/v1/jobs", submission).status, 201);
     };
@@ -173,7 +173,7 @@
   report.machine = "i-1", report.tasks = {task};
   owner.on_report(report, kNow, place::StartRefusal::none);
   known = true;
-  record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(job("j-1", 1)));
+  record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(submission_json("j-1", 1)));
   owner.on_job_record("j-1", record, false, kNow, kNow);
   owner.tick(kNow, place::StartRefusal::none);
   for (const auto& placed : owner.describe_attempts()) EXPECT_EQ(placed, "i-1 j-1/0 running");
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -7,20 +7,20 @@
 namespace aspenwick::job {
 namespace {
 
-TEST(DoneSet, ALargeJobFitsSmallValues) {
-  DoneSet all(wire::kMaxTasks), back(wire::kMaxTasks);
-  for (std::uint32_t i = 0; i < wire::kMaxTasks; i += 3) all.set(i);
-  for (std::uint32_t c = 0; c < all.chunks(); ++c) {
-    const auto text = all.chunk_text(c);
+TEST(DoneSet, ChunksOfALargeJobFitSmallValues) {
+  DoneSet original(wire::kMaxTasks), restored(wire::kMaxTasks);
+  for (std::uint32_t i = 0; i < wire::kMaxTasks; i += 3) original.set(i);
+  for (std::uint32_t c = 0; c < original.chunks(); ++c) {
+    const auto text = original.chunk_text(c);
     EXPECT_LE(text.size(), 4096U);
-    back.merge_chunk(c, text);
+    restored.merge_chunk(c, text);
   }
-  EXPECT_EQ(back.count(), all.count());
-  EXPECT_TRUE(back.test(99'999));
-  EXPECT_FALSE(back.test(99'998));
+  EXPECT_EQ(restored.count(), original.count());
+  EXPECT_TRUE(restored.test(99'999));
+  EXPECT_FALSE(restored.test(99'998));
 }
 
-TEST(DoneSet, TextFromOutsideCannotReachPastTheJob) {
+TEST(DoneSet, IgnoresBitsBeyondTheLastTask) {
   DoneSet d(5);
   d.merge_chunk(0, "ffffffff");
   EXPECT_EQ(d.count(), 5U);
@@ -29,7 +29,7 @@
   EXPECT_FALSE(d.test(6));
 }
 
-TEST(Record, DoneOnesKeepOnlyTheStatus) {
+TEST(Record, OnlyTheStatusOfACompletedJobIsStored) {
   JobRecord r;
   r.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(testing::job_json()));
   r.submitted = 5;
@@ -43,7 +43,7 @@
   EXPECT_TRUE(record_from_json(record_to_json(r), 5).final());
 }
 
-TEST(NeverRuns, SaysWhy) {
+TEST(UnschedulableReason, IsGivenForJobsThatCanNeverRun) {
   const auto settings = wire::parse_settings(testing::settings_json().dump());
   const auto types = testing::machine_types();
   auto spec = wire::job_from_json(testing::job_json());
--- a/tests/records_rows_test.cpp
+++ b/tests/records_rows_test.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// A node's records and keys, with a state service that never answers.
-struct RowsTest : NodeTest {
-  struct Silent : net::Requester {
+struct RecordRowOrderTest : NodeTest {
+  struct NullRequester : net::Requester {
     void request(net::Method, const wire::Endpoint&, const std::string&, const std::string&, Micros,
                  net::Answered) override {}
   };
-  static share::MachineRecord machine(const std::string& id, std::uint64_t version) {
+  static share::MachineRecord machine_record(const std::string& id, std::uint64_t version) {
     share::MachineRecord m;
     m.id = id, m.address = "127.0.0.1:9", m.type = "cpu8", m.zone = "z1", m.share = 0, m.version = version;
     return m;
@@ -23,7 +23,7 @@
   wire::PlatformSettings platform = wire::parse_settings(settings_json().dump());
   Engine engine;
   NodeLoop loop{engine};
-  Silent http;
+  NullRequester http;
   store::Client store{loop, http, platform};
   app::Records records{platform,
                        {loop, store, [](const std::string&, const job::JobRecord&) {},
@@ -34,9 +34,9 @@
 // All keys are read again, in many pages, and a machine is recorded after the first.
 // What happened: it is on none of the pages, was taken for removed, and its tasks were freed until the watch
 // told of it again. Why: a list of many pages is no snapshot, and a removal was not compared by revision.
-TEST_F(RowsTest, WhatIsNewerThanTheFirstPageOfAListWasNotRemovedBeforeIt) {
-  records.add_machine(machine("i-1", 10));
-  records.add_machine(machine("i-2", 12));
+TEST_F(RecordRowOrderTest, KeysNewerThanTheFirstPageOfAListAreNotTakenForRemoved) {
+  records.add_machine(machine_record("i-1", 10));
+  records.add_machine(machine_record("i-2", 12));
   shares.apply(owner_row(3, 12));
   EXPECT_EQ(records.missing_keys({}, 11), std::vector<std::string>{"s/machine/i-1"});
   EXPECT_EQ(records.missing_keys({}, 12).size(), 2U);
@@ -48,7 +48,7 @@
 // that. What happened: the older row replaced the newer one, so that an owner with the raised epoch no longer
 // counted as the owner, or a key that was gone came back. Why: the last row told counted, whatever its
 // revision.
-TEST_F(RowsTest, AnOlderRowOfAnOwnersKeyChangesNothing) {
+TEST_F(RecordRowOrderTest, OlderRowsOfAnOwnerKeyAreIgnored) {
   shares.apply(owner_row(3, 12));
   shares.apply(owner_row(2, 9));
   ASSERT_NE(shares.ownership().owner(1), nullptr);
--- a/tests/report_test.cpp
+++ b/tests/report_test.cpp
@@ -23,7 +23,7 @@
   return *it;
 }
 
-std::string text(const Json& j, const char* name, bool may_be_empty = false) {
+std::string string_field(const Json& j, const char* name, bool may_be_empty = false) {
   const Json& v = field(j, name);
   if (!v.is_string()) throw Malformed(std::string("not a string: ") + name);
   auto s = v.get<std::string>();
@@ -32,7 +32,7 @@
   return s;
 }
 
-double amount(const Json& j, const char* name) {
+double number_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
   if (!v.is_number()) throw Malformed(std::string("not a number: ") + name);
   double d = v.get<double>();
@@ -41,13 +41,13 @@
   return d;
 }
 
-bool flag(const Json& j, const char* name) {
+bool bool_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
   if (!v.is_boolean()) throw Malformed(std::string("not true or false: ") + name);
   return v.get<bool>();
 }
 
-std::uint64_t count(const Json& j, const char* name) {
+std::uint64_t count_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
   if (!v.is_number_integer() || (!v.is_number_unsigned() && v.get<std::int64_t>() < 0))
     throw Malformed(std::string("not a count: ") + name);
@@ -60,8 +60,8 @@
 }
 
 template <typename Enum, std::size_t N>
-Enum name_of(const Json& j, const char* field_name, const std::array<const char*, N>& names) {
-  const std::string s = text(j, field_name);
+Enum enum_field(const Json& j, const char* field_name, const std::array<const char*, N>& names) {
+  const std::string s = string_field(j, field_name);
   auto it = std::find(names.begin(), names.end(), s);
   if (it == names.end()) throw Malformed(std::string("unknown value of ") + field_name);
   return static_cast<Enum>(it - names.begin());
@@ -78,28 +78,28 @@
   return {s.substr(0, slash), index};
 }
 
-WorkerReport plain_report(const std::string& body) {
+WorkerReport reference_parse_report(const std::string& body) {
   const Json j = Json::parse(body, nullptr, false);
   if (!j.is_object()) throw Malformed("not an object");
   WorkerReport r;
-  r.machine = text(j, "rig");
-  r.address = text(j, "endpoint");
-  r.type = text(j, "rigtype");
-  r.zone = text(j, "site");
-  r.spot = flag(j, "loaner");
-  r.session = count(j, "stint");
-  r.seq = count(j, "tally");
-  r.token = optional_field(j, "baton") ? count(j, "baton") : 0;
-  if (optional_field(j, "warningS")) r.notice = from_seconds(amount(j, "warningS"));
+  r.machine = string_field(j, "rig");
+  r.address = string_field(j, "endpoint");
+  r.type = string_field(j, "rigtype");
+  r.zone = string_field(j, "site");
+  r.spot = bool_field(j, "loaner");
+  r.session = count_field(j, "stint");
+  r.seq = count_field(j, "tally");
+  r.token = optional_field(j, "baton") ? count_field(j, "baton") : 0;
+  if (optional_field(j, "warningS")) r.notice = from_seconds(number_field(j, "warningS"));
   if (const Json* pieces = optional_field(j, "pieces")) {
     if (!pieces->is_array()) throw Malformed("not a list: pieces");
     for (const Json& p : *pieces) {
       if (!p.is_object()) throw Malformed("bad entry: pieces");
       TaskReport t;
-      std::tie(t.job, t.index) = parse_task(text(p, "piece"));
-      t.attempt = count(p, "try");
-      t.state = name_of<TaskState>(p, "status", kStates);
-      if (optional_field(p, "cause")) t.cause = name_of<Cause>(p, "cause", kCauses);
+      std::tie(t.job, t.index) = parse_task(string_field(p, "piece"));
+      t.attempt = count_field(p, "try");
+      t.state = enum_field<TaskState>(p, "status", kStates);
+      if (optional_field(p, "cause")) t.cause = enum_field<Cause>(p, "cause", kCauses);
       if (const Json* saved = optional_field(p, "stored"))
         t.saved = saved->is_boolean() && saved->get<bool>();
       r.tasks.push_back(std::move(t));
@@ -108,7 +108,7 @@
   return r;
 }
 
-std::string shown(const WorkerReport& r) {
+std::string to_text(const WorkerReport& r) {
   std::string s = r.machine + "|" + r.address + "|" + r.type + "|" + r.zone + "|" + std::to_string(r.spot) +
                   std::to_string(r.session) + "," + std::to_string(r.seq) + "," + std::to_string(r.token) +
                   (r.notice ? " notice " + std::to_string(*r.notice) : "");
@@ -119,9 +119,9 @@
   return s;
 }
 
-std::string read_by(WorkerReport (*parse)(const std::string&), const std::string& body) {
+std::string parse_to_text(WorkerReport (*parse)(const std::string&), const std::string& body) {
   try {
-    return shown(parse(body));
+    return to_text(parse(body));
   } catch (const Malformed&) {
     return "refused";
   }
@@ -134,67 +134,69 @@
     R"({"piece":"j-000398/0","try":18446744073709551615,"status":"ended","cause":"stopped","stored":true},)"
     R"({"piece":"j-7/12","try":3,"status":"waiting","cause":null,"stored":1}]})";
 
-TEST(Report, EveryChangeOfOneValueIsReadAsThePlainReadingDoes) {
+TEST(Report, ReplacedValuesAreParsedLikeTheReference) {
   const auto flat = Json::parse(kReport).flatten();
-  const std::vector<Json> odd{nullptr,
-                              -1,
-                              0,
-                              1e300,
-                              1e7,
-                              10000001,
-                              "x",
-                              "",
-                              "j-1/4294967296",
-                              "j-1/",
-                              "/1",
-                              "é",
-                              true,
-                              0.5,
-                              18446744073709551615ULL,
-                              std::string(200, 'a'),
-                              std::string(201, 'a'),
-                              "running",
-                              "done",
-                              "no such"};
-  int refused = 0, read = 0;
+  const std::vector<Json> odd_values{nullptr,
+                                     -1,
+                                     0,
+                                     1e300,
+                                     1e7,
+                                     10000001,
+                                     "x",
+                                     "",
+                                     "j-1/4294967296",
+                                     "j-1/",
+                                     "/1",
+                                     "é",
+                                     true,
+                                     0.5,
+                                     18446744073709551615ULL,
+                                     std::string(200, 'a'),
+                                     std::string(201, 'a'),
+                                     "running",
+                                     "done",
+                                     "no such"};
+  int rejected = 0, accepted = 0;
   for (auto it = flat.begin(); it != flat.end(); ++it)
-    for (const auto& value : odd) {
+    for (const auto& value : odd_values) {
       auto changed = flat;
       changed[it.key()] = value;
       const std::string body = changed.unflatten().dump();
-      const std::string want = read_by(plain_report, body);
-      EXPECT_EQ(read_by(parse_report, body), want) << body;
-      ++(want == "refused" ? refused : read);
+      const std::string expected = parse_to_text(reference_parse_report, body);
+      EXPECT_EQ(parse_to_text(parse_report, body), expected) << body;
+      ++(expected == "refused" ? rejected : accepted);
     }
-  EXPECT_GT(refused, 100);
-  EXPECT_GT(read, 100);
+  EXPECT_GT(rejected, 100);
+  EXPECT_GT(accepted, 100);
 }
 
-TEST(Report, EveryMissingFieldAndEveryCutIsTreatedAsThePlainReadingDoes) {
+TEST(Report, MissingFieldsAndTruncationAreHandledLikeTheReference) {
   const auto whole = Json::parse(kReport);
   for (auto it = whole.begin(); it != whole.end(); ++it) {
-    auto less = whole;
-    less.erase(it.key());
-    EXPECT_EQ(read_by(parse_report, less.dump()), read_by(plain_report, less.dump())) << it.key();
+    auto without_field = whole;
+    without_field.erase(it.key());
+    EXPECT_EQ(parse_to_text(parse_report, without_field.dump()),
+              parse_to_text(reference_parse_report, without_field.dump()))
+        << it.key();
   }
   for (std::size_t n = 0; n < kReport.size(); ++n) {
-    const std::string cut = kReport.substr(0, n);
-    EXPECT_EQ(read_by(parse_report, cut), "refused") << cut;
+    const std::string truncated = kReport.substr(0, n);
+    EXPECT_EQ(parse_to_text(parse_report, truncated), "refused") << truncated;
   }
 }
 
-TEST(Report, DamagedAtRandomItIsReadAsThePlainReadingDoes) {
+TEST(Report, RandomDamageIsHandledLikeTheReference) {
   std::mt19937 random(5);
-  int read = 0;
+  int accepted = 0;
   for (int i = 0; i < 5'000; ++i) {
     std::string body = kReport;
     for (auto n = 1 + random() % 3; n > 0; --n)
       body[random() % body.size()] = static_cast<char>(random() % 128);
-    const std::string want = read_by(plain_report, body);
-    EXPECT_EQ(read_by(parse_report, body), want) << body;
-    read += want != "refused";
+    const std::string expected = parse_to_text(reference_parse_report, body);
+    EXPECT_EQ(parse_to_text(parse_report, body), expected) << body;
+    accepted += expected != "refused";
   }
-  EXPECT_GT(read, 250);
+  EXPECT_GT(accepted, 250);
 }
 
 }  // namespace
--- a/tests/results_days_test.cpp
+++ b/tests/results_days_test.cpp
@@ -19,7 +19,8 @@
 void submit_some(SmallWorld& w, int& count) {
   static const std::vector<std::string> teams{"red", "cards"};  // of two shares
   for (int i = 0; i < 3; ++i) {
-    auto submission = job("j-" + std::to_string(1000 + ++count), 1 + static_cast<int>(w.random() % 12));
+    auto submission =
+        submission_json("j-" + std::to_string(1000 + ++count), 1 + static_cast<int>(w.random() % 12));
     submission["owner"] = teams[w.random() % teams.size()];
     if (w.random() % 4 == 0) submission["shape"] = "group", submission["pieces"] = 2;
     w.submitted[submission["nameId"]] = submission;
--- a/tests/rnn_test.cpp
+++ b/tests/rnn_test.cpp
@@ -13,44 +13,44 @@
 namespace {
 
 /// Machines by name.
-struct Named {
+struct NamedRnn {
   Rnn rnn;
-  std::map<std::string, Rnn::Neuron> at;
+  std::map<std::string, Rnn::Neuron> neuron_of;
 
-  explicit Named(RnnSettings s = {}) : rnn(s) {}
-  void add_machine(const std::string& m) { at[m] = rnn.add_machine(m); }
-  void remove_machine(const std::string& m) { rnn.remove_machine(at.at(m)), at.erase(m); }
-  void learn(const std::string& m, double goal) { rnn.learn(at.at(m), goal); }
-  double q(const std::string& m) const { return rnn.q(at.at(m)); }
+  explicit NamedRnn(RnnSettings s = {}) : rnn(s) {}
+  void add_machine(const std::string& m) { neuron_of[m] = rnn.add_machine(m); }
+  void remove_machine(const std::string& m) { rnn.remove_machine(neuron_of.at(m)), neuron_of.erase(m); }
+  void learn(const std::string& m, double goal) { rnn.learn(neuron_of.at(m), goal); }
+  double q(const std::string& m) const { return rnn.q(neuron_of.at(m)); }
   double threshold() const { return rnn.threshold(); }
   double excitatory(const std::string& a, const std::string& b) const {
-    return rnn.excitatory(at.at(a), at.at(b));
+    return rnn.excitatory(neuron_of.at(a), neuron_of.at(b));
   }
   double inhibitory(const std::string& a, const std::string& b) const {
-    return rnn.inhibitory(at.at(a), at.at(b));
+    return rnn.inhibitory(neuron_of.at(a), neuron_of.at(b));
   }
-  std::string choose(const std::vector<std::string>& from) {
+  std::string choose(const std::vector<std::string>& candidates) {
     std::vector<Rnn::Neuron> neurons;
-    for (const auto& m : from) neurons.push_back(at.at(m));
-    return from[rnn.choose(neurons)];
+    for (const auto& m : candidates) neurons.push_back(neuron_of.at(m));
+    return candidates[rnn.choose(neurons)];
   }
 };
 
-Named three(RnnSettings s = {}) {
-  Named r(s);
+NamedRnn three_machines(RnnSettings s = {}) {
+  NamedRnn r(s);
   for (const char* m : {"a", "b", "c"}) r.add_machine(m);
   return r;
 }
 
 TEST(Rnn, EveryNeuronStartsAtOneHalf) {
-  const Named r = three();
+  const NamedRnn r = three_machines();
   for (const char* m : {"a", "b", "c"}) EXPECT_NEAR(r.q(m), 0.5, 1e-9);
   EXPECT_NEAR(r.excitatory("a", "b"), 0.25, 1e-12);  // 1/(2(N-1))
   EXPECT_NEAR(r.inhibitory("c", "b"), 0.25, 1e-12);
 }
 
 TEST(Rnn, RewardExcitesTheMachineAndInhibitsTheOthers) {
-  Named r = three();
+  NamedRnn r = three_machines();
   // G = 0.5: reward 2, T = 0.8*1 + 0.2*2 = 1.2 <= 2. Into a: +2 excitatory; into the other: +2/(3-2)
   // inhibitory.
   r.learn("a", 0.5);
@@ -66,8 +66,8 @@
   EXPECT_NEAR(r.q("b"), r.q("c"), 1e-5);
 }
 
-TEST(Rnn, PunishmentSwapsTheRoles) {
-  Named r = three();
+TEST(Rnn, PunishmentInhibitsTheMachineAndExcitesTheOthers) {
+  NamedRnn r = three_machines();
   // G = 2: reward 0.5, T = 0.8 + 0.1 = 0.9 > 0.5.
   r.learn("a", 2);
   EXPECT_NEAR(r.threshold(), 0.9, 1e-12);
@@ -79,22 +79,22 @@
   EXPECT_NEAR(r.q("b"), r.q("c"), 1e-5);
 }
 
-TEST(Rnn, RowsKeepTheirSumAndQIsClipped) {
-  Named r = three();
+TEST(Rnn, RowsStayNormalizedAndQIsClipped) {
+  NamedRnn r = three_machines();
   for (int i = 0; i < 50; ++i) r.learn("a", 0.1 + i % 3);
   for (const char* i : {"a", "b", "c"}) {
     double sum = 0;
     for (const char* k : {"a", "b", "c"}) sum += r.excitatory(i, k) + r.inhibitory(i, k);
     EXPECT_NEAR(sum, 1, 1e-9);
   }
-  Named s;
+  NamedRnn s;
   for (char m = 'a'; m < 'z'; ++m) s.add_machine(std::string(1, m));
   for (int i = 0; i < 20; ++i) s.learn("b", 0.1);
   EXPECT_DOUBLE_EQ(s.q("b"), 1.0);  // (0.25 + about 24 * 0.24 * 0.5) / 1 without clipping
 }
 
-TEST(Rnn, TheHighestQDecidesAndASliceGoesInTurn) {
-  Named r = three();
+TEST(Rnn, ChoosesTheHighestQExceptForARoundRobinFraction) {
+  NamedRnn r = three_machines();
   r.learn("b", 0.5);
   const std::vector<std::string> all{"a", "b", "c"};
   std::vector<std::string> picked;
@@ -105,8 +105,8 @@
   EXPECT_EQ(picked[29], "c");
 }
 
-TEST(Rnn, SharesUnderThreeMachinesGoRoundRobin) {
-  Named r;
+TEST(Rnn, FewerThanThreeMachinesAreChosenRoundRobin) {
+  NamedRnn r;
   r.add_machine("a");
   r.add_machine("b");
   r.learn("a", 0.1);
@@ -116,8 +116,8 @@
   EXPECT_EQ(r.choose(both), "a");
 }
 
-TEST(Rnn, JoiningAndLeavingKeepWhatWasLearntOfOthers) {
-  Named r = three();
+TEST(Rnn, AddingAndRemovingMachinesKeepsTheOthersState) {
+  NamedRnn r = three_machines();
   r.learn("a", 0.5);
   r.learn("c", 3);
   const double a = r.q("a"), c = r.q("c");
@@ -133,8 +133,8 @@
   EXPECT_GT(r.excitatory("c", "a"), r.excitatory("a", "c"));
 }
 
-TEST(Rnn, GoalsThatMakeNoSenseTeachNothing) {
-  Named r = three();
+TEST(Rnn, InvalidGoalsAreIgnored) {
+  NamedRnn r = three_machines();
   for (const double g :
        {0.0, -1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()})
     r.learn("a", g);
@@ -142,18 +142,18 @@
 }
 
 /// The equations as DESIGN writes them: weights by row, q swept at every choice.
-struct PlainRnn {
+struct ReferenceRnn {
   std::vector<std::string> names;
-  std::vector<std::vector<double>> plus, minus;
+  std::vector<std::vector<double>> w_plus, w_minus;
   std::vector<double> q;
   double threshold = 1;
 
-  std::size_t at(const std::string& m) const {
+  std::size_t index_of(const std::string& m) const {
     return static_cast<std::size_t>(std::find(names.begin(), names.end(), m) - names.begin());
   }
   void add_machine(const std::string& m) {
     const auto n = static_cast<double>(names.size() + 1);
-    for (auto* w : {&plus, &minus}) {
+    for (auto* w : {&w_plus, &w_minus}) {
       for (auto& row : *w) {
         for (double& x : row) x *= n > 2 ? (n - 2) / (n - 1) : 0;
         row.push_back(1 / (2 * (n - 1)));
@@ -165,14 +165,14 @@
   void rescale() {
     for (std::size_t i = 0; i < names.size(); ++i) {
       double r = 0;
-      for (std::size_t k = 0; k < names.size(); ++k) r += plus[i][k] + minus[i][k];
+      for (std::size_t k = 0; k < names.size(); ++k) r += w_plus[i][k] + w_minus[i][k];
       if (r <= 0) continue;
-      for (std::size_t k = 0; k < names.size(); ++k) plus[i][k] /= r, minus[i][k] /= r;
+      for (std::size_t k = 0; k < names.size(); ++k) w_plus[i][k] /= r, w_minus[i][k] /= r;
     }
   }
   void remove_machine(const std::string& m) {
-    const auto i = static_cast<std::ptrdiff_t>(at(m));
-    for (auto* w : {&plus, &minus}) {
+    const auto i = static_cast<std::ptrdiff_t>(index_of(m));
+    for (auto* w : {&w_plus, &w_minus}) {
       w->erase(w->begin() + i);
       for (auto& row : *w) row.erase(row.begin() + i);
     }
@@ -180,10 +180,10 @@
     rescale();
   }
   void learn(const std::string& m, double goal) {
-    const std::size_t i = at(m), n = names.size();
+    const std::size_t i = index_of(m), n = names.size();
     threshold = 0.8 * threshold + 0.2 / goal;
-    auto& into_this = 1 / goal >= threshold ? plus : minus;
-    auto& into_others = 1 / goal >= threshold ? minus : plus;
+    auto& into_this = 1 / goal >= threshold ? w_plus : w_minus;
+    auto& into_others = 1 / goal >= threshold ? w_minus : w_plus;
     for (std::size_t j = 0; j < n; ++j)
       for (std::size_t k = 0; k < n; ++k)
         if (j != k)
@@ -193,93 +193,97 @@
   }
   void solve() {
     for (int sweep = 0; sweep < 200; ++sweep) {
-      double moved = 0;
+      double max_change = 0;
       for (std::size_t i = 0; i < names.size(); ++i) {
-        double up = 0.25, down = 1;
-        for (std::size_t j = 0; j < names.size(); ++j) up += q[j] * plus[j][i], down += q[j] * minus[j][i];
-        const double now = std::min(1.0, up / down);
-        moved = std::max(moved, std::abs(now - q[i]));
-        q[i] = now;
+        double excitation = 0.25, inhibition = 1;
+        for (std::size_t j = 0; j < names.size(); ++j)
+          excitation += q[j] * w_plus[j][i], inhibition += q[j] * w_minus[j][i];
+        const double next_q = std::min(1.0, excitation / inhibition);
+        max_change = std::max(max_change, std::abs(next_q - q[i]));
+        q[i] = next_q;
       }
-      if (moved < 1e-13) break;
+      if (max_change < 1e-13) break;
     }
   }
 };
 
 /// The same history for both; every q that is asked for must agree within `tolerance`, and with it the
 /// choice.
-void compare(std::size_t most, int steps, double goal_median, double tolerance, bool crowds,
-             double drift = 1e-7) {
+void expect_same_as_reference(std::size_t machine_count, int steps, double goal_median, double tolerance,
+                              bool bulk_changes, double max_merge_error = 1e-7) {
   RnnSettings settings;
   settings.round_robin_fraction = 0;
-  Named fast(settings);
-  PlainRnn plain;
-  std::mt19937 random(static_cast<unsigned>(most));
+  NamedRnn grouped(settings);
+  ReferenceRnn reference;
+  std::mt19937 random(static_cast<unsigned>(machine_count));
   std::lognormal_distribution<double> goal(std::log(goal_median), 0.3);
-  auto any = [&] { return plain.names[random() % plain.names.size()]; };
-  std::size_t joined = 0;
+  auto random_machine = [&] { return reference.names[random() % reference.names.size()]; };
+  std::size_t next_id = 0;
   auto add_machine = [&] {
-    const auto m = "m" + std::to_string(joined++);
-    fast.add_machine(m), plain.add_machine(m);
+    const auto m = "m" + std::to_string(next_id++);
+    grouped.add_machine(m), reference.add_machine(m);
   };
   auto remove_machine = [&] {
-    const auto m = any();
-    fast.remove_machine(m), plain.remove_machine(m);
+    const auto m = random_machine();
+    grouped.remove_machine(m), reference.remove_machine(m);
   };
-  for (std::size_t i = 0; i < most; ++i) add_machine();
+  for (std::size_t i = 0; i < machine_count; ++i) add_machine();
   for (int step = 0; step < steps; ++step) {
-    const auto what = random() % 40;
-    if (what < 2 && plain.names.size() > 4) remove_machine();
-    if (what == 2 || what == 3) add_machine();
-    if (crowds && what == 4)  // many at once, as at a takeover or when a zone is lost
-      for (std::size_t i = 0; i < most / 3; ++i) add_machine();
-    if (crowds && what == 5)
-      for (std::size_t i = plain.names.size() / 3; i > 0 && plain.names.size() > 2; --i) remove_machine();
-    const auto m = any();
+    const auto event = random() % 40;
+    if (event < 2 && reference.names.size() > 4) remove_machine();
+    if (event == 2 || event == 3) add_machine();
+    if (bulk_changes && event == 4)  // many at once, as at a takeover or when a zone is lost
+      for (std::size_t i = 0; i < machine_count / 3; ++i) add_machine();
+    if (bulk_changes && event == 5)
+      for (std::size_t i = reference.names.size() / 3; i > 0 && reference.names.size() > 2; --i)
+        remove_machine();
+    const auto m = random_machine();
     const double g = goal(random);
-    fast.learn(m, g), plain.learn(m, g);
-    if (random() % 3 == 0 || plain.names.size() < 3) continue;  // several tasks finish between two choices
-    plain.solve();
-    const auto highest = *std::max_element(plain.q.begin(), plain.q.end());
-    ASSERT_NEAR(plain.q[plain.at(fast.choose(plain.names))], highest, tolerance)
-        << most << " machines, step " << step;
-    for (std::size_t i = 0; i < plain.names.size(); ++i)
-      ASSERT_NEAR(fast.q(plain.names[i]), plain.q[i], tolerance) << most << " machines, step " << step;
+    grouped.learn(m, g), reference.learn(m, g);
+    if (random() % 3 == 0 || reference.names.size() < 3)
+      continue;  // several tasks finish between two choices
+    reference.solve();
+    const auto highest = *std::max_element(reference.q.begin(), reference.q.end());
+    ASSERT_NEAR(reference.q[reference.index_of(grouped.choose(reference.names))], highest, tolerance)
+        << machine_count << " machines, step " << step;
+    for (std::size_t i = 0; i < reference.names.size(); ++i)
+      ASSERT_NEAR(grouped.q(reference.names[i]), reference.q[i], tolerance)
+          << machine_count << " machines, step " << step;
   }
-  EXPECT_NEAR(fast.threshold(), plain.threshold, 1e-9);
-  EXPECT_LE(fast.rnn.classes(), Rnn::kMaxClasses);
-  EXPECT_LE(fast.rnn.merge_error(), drift);
+  EXPECT_NEAR(grouped.threshold(), reference.threshold, 1e-9);
+  EXPECT_LE(grouped.rnn.classes(), Rnn::kMaxClasses);
+  EXPECT_LE(grouped.rnn.merge_error(), max_merge_error);
 }
 
-TEST(Rnn, ClassesAnswerAsThePlainFormDoes) {
+TEST(Rnn, ClassesAgreeWithTheReference) {
   // One weight for all machines that the equations can't tell apart makes a lesson's cost independent of how
   // many machines there are. Machines join, leave and finish tasks; q and the choice must be the plain
   // form's.
-  compare(8, 600, 1, 1e-7, false);
-  compare(60, 200, 1, 1e-7, false);
-  compare(200, 60, 1, 1e-7, false);
-  compare(30, 300, 1, 1e-7, true);
+  expect_same_as_reference(8, 600, 1, 1e-7, false);
+  expect_same_as_reference(60, 200, 1, 1e-7, false);
+  expect_same_as_reference(200, 60, 1, 1e-7, false);
+  expect_same_as_reference(30, 300, 1, 1e-7, true);
 }
 
-TEST(Rnn, LessonsThatFadeSlowlyStayWithinTheStatedDrift) {
+TEST(Rnn, MergingClassesStaysWithinTheErrorBound) {
   // Run times in seconds instead of their ratio: rewards are so small that hundreds of lessons count at once,
   // more than there may be classes. What is given up must stay far below what tells machines apart.
-  compare(150, 250, 30, 2e-3, false, 0.02);
+  expect_same_as_reference(150, 250, 30, 2e-3, false, 0.02);
 }
 
-TEST(Rnn, ManyMachinesAreFewClasses) {
+TEST(Rnn, ManyMachinesNeedFewClasses) {
   Rnn r;
   std::vector<Rnn::Neuron> all;
   for (int i = 0; i < 3000; ++i) all.push_back(r.add_machine("m" + std::to_string(i)));
   EXPECT_EQ(r.classes(), 1U);
   std::mt19937 random(1);
   std::lognormal_distribution<double> goal(0, 0.3);
-  std::size_t most = 0;
+  std::size_t max_classes = 0;
   for (int i = 0; i < 2000; ++i) {
     r.learn(all[random() % all.size()], goal(random));
-    most = std::max(most, r.classes());
+    max_classes = std::max(max_classes, r.classes());
   }
-  EXPECT_LE(most, 40U);
+  EXPECT_LE(max_classes, 40U);
   EXPECT_EQ(r.size(), 3000U);
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -9,15 +9,15 @@
 namespace aspenwick {
 namespace {
 
-TEST(PlatformSettings, AreReadAndUnknownFieldsIgnored) {
+TEST(PlatformSettings, AreParsedAndUnknownFieldsIgnored) {
   const auto s = wire::parse_settings(testing::settings_json().dump());
   EXPECT_EQ(s.nodes(), (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(s.worker_lease, 12 * kSecond);
   EXPECT_EQ(s.value_bytes, 16384U);
 }
 
-TEST(PlatformSettings, AMissingOrWrongFieldIsNamed) {
-  const auto complaint = [](const char* pointer, const wire::Json& value) {
+TEST(PlatformSettings, ErrorsNameTheMissingOrInvalidField) {
+  const auto error_of = [](const char* pointer, const wire::Json& value) {
     auto j = testing::settings_json();
     const wire::Json::json_pointer p(pointer);
     if (value.is_null())
@@ -31,13 +31,13 @@
     }
     return std::string();
   };
-  EXPECT_EQ(complaint("/params/workers/lease_s", nullptr), "settings: missing field: params.workers.lease_s");
-  EXPECT_EQ(complaint("/listen", "nonsense"), "settings: not an address: listen");
-  EXPECT_EQ(complaint("/params/state/rps", -1), "settings: out of range: params.state.rps");
-  EXPECT_EQ(complaint("/siblings", 3), "settings: not a list: siblings");
+  EXPECT_EQ(error_of("/params/workers/lease_s", nullptr), "settings: missing field: params.workers.lease_s");
+  EXPECT_EQ(error_of("/listen", "nonsense"), "settings: not an address: listen");
+  EXPECT_EQ(error_of("/params/state/rps", -1), "settings: out of range: params.state.rps");
+  EXPECT_EQ(error_of("/siblings", 3), "settings: not a list: siblings");
 }
 
-TEST(PlatformSettings, LimitsToComeAreKeptToFromTheStart) {
+TEST(PlatformSettings, UpcomingLimitsApplyFromTheStart) {
   auto j = testing::settings_json();
   auto& state = j["params"]["state"];
   for (const auto& next : {wire::Json(), wire::Json::object()}) {
@@ -55,26 +55,26 @@
 
 // An owner that nobody reaches goes on for its store lease, its workers for one lease more: settings under
 // which they would outlive a cancellation end the start with the field's name.
-TEST(PlatformSettings, LeaveTimeToCancel) {
+TEST(PlatformSettings, CancelDeadlineMustExceedTheLeases) {
   auto j = testing::settings_json();  // leases of 12 s and 5 s
-  auto check = [&](double cancel_s) {
+  auto longest_run_after_cancel = [&](double cancel_s) {
     j["params"]["workers"]["cancel_s"] = cancel_s;
     const auto s = wire::parse_settings(j.dump());
     share::check_cancel_deadline(s);
-    const share::Ownership own(s);
-    return share::kOwnerLeaseDuration + own.max_unconfirmed_renewal() + s.worker_lease;
+    const share::Ownership ownership(s);
+    return share::kOwnerLeaseDuration + ownership.max_unconfirmed_renewal() + s.worker_lease;
   };
   for (const double cancel_s : {20.0, 21.5, 28.0, 37.0, 300.0})
-    EXPECT_LT(check(cancel_s), from_seconds(cancel_s));
+    EXPECT_LT(longest_run_after_cancel(cancel_s), from_seconds(cancel_s));
   try {
-    check(19.9);
+    longest_run_after_cancel(19.9);
     FAIL();
   } catch (const wire::Malformed& e) {
     EXPECT_NE(std::string(e.what()).find("params.workers.cancel_s"), std::string::npos) << e.what();
   }
 }
 
-TEST(OperatorSettings, DefaultsStandAndKeysAreChecked) {
+TEST(OperatorSettings, UnsetKeysKeepDefaultsAndInvalidOnesAreRejected) {
   EXPECT_DOUBLE_EQ(app::parse_operator_settings("").rnn.past_weight, 0.8);
   const auto s =
       app::parse_operator_settings("learner: {memory: 0.5, goal: seconds}\nrenting: {idle_after_s: 3}");
--- a/tests/stale_records_test.cpp
+++ b/tests/stale_records_test.cpp
@@ -23,7 +23,7 @@
 /// Node a has lost the last changes and reads all keys again, in pages of a few keys that take a while each.
 void read_all_keys_again(SmallWorld& world, std::size_t rows_in_page, Micros page_takes) {
   world.watch_stalls = {"a"};
-  EXPECT_EQ(world.ask("b", net::Method::post, "/v1/jobs", job("j-9", 1)).status, 201);
+  EXPECT_EQ(world.ask("b", net::Method::post, "/v1/jobs", submission_json("j-9", 1)).status, 201);
   world.store.rows_in_page = rows_in_page;
   world.store.page_takes = page_takes;
   world.store.forget_changes();
@@ -46,7 +46,7 @@
     world.push_lost = 0;
     world.run_time = kLongRun;
     world.engine.run_for(20 * kSecond);
-    auto submission = job("j-1", kTasks);
+    auto submission = submission_json("j-1", kTasks);
     submission["owner"] = "cards";
     submission["vcpus"] = 8.0;
     users.submit(submission);
@@ -92,7 +92,7 @@
     EXPECT_FALSE(world.machines_of("j-1").empty());
   }
   void submit(const std::string& id) {
-    auto submission = job(id, 600);
+    auto submission = submission_json(id, 600);
     submission["owner"] = "cards";
     users.submit(submission);
   }
--- a/tests/users.cpp
+++ b/tests/users.cpp
@@ -52,8 +52,8 @@
 }
 
 Json Users::some_new_job() {
-  auto j = job("j-" + std::to_string(1000 + ++submitted_),
-               1 + static_cast<int>(w_.random() % (chance(0.3) ? 12 : 3)));
+  auto j = submission_json("j-" + std::to_string(1000 + ++submitted_),
+                           1 + static_cast<int>(w_.random() % (chance(0.3) ? 12 : 3)));
   const auto owner = w_.random() % 3;
   j["owner"] = std::vector<std::string>{"red", "tight", "cards"}[owner];
   j["rank"] = std::vector<std::string>{"low", "low", "normal", "high", "production"}[w_.random() % 5];
@@ -94,7 +94,7 @@
   const auto node = up();
   if (node.empty()) return;
   const std::string id = "j-8" + std::to_string(100'000 + ++odd_);
-  auto j = job(id, 2);
+  auto j = submission_json(id, 2);
   switch (w_.random() % 6) {
     case 0:
       j.erase("vcpus");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -9,7 +9,7 @@
 namespace aspenwick::wire {
 namespace {
 
-TEST(Job, GoesThroughTheRecordUnchanged) {
+TEST(Job, JsonRoundTripKeepsAllFields) {
   Json j = testing::job_json();
   j["rigtypes"] = {"cpu8"};
   j["site"] = "z1";
@@ -23,12 +23,12 @@
   EXPECT_EQ(job_to_json(t), job_to_json(s));
 }
 
-TEST(Job, WhatItWaitsForIsAListOfJobIds) {
+TEST(Job, DependenciesAreAListOfJobIds) {
   Json j = testing::job_json();
-  const Json none = job_to_json(parse_job(j.dump()));
+  const Json without_dependencies = job_to_json(parse_job(j.dump()));
   for (const Json& empty : {Json(), Json::array()}) {
     j["waitsOn"] = empty;
-    EXPECT_EQ(job_to_json(parse_job(j.dump())), none);
+    EXPECT_EQ(job_to_json(parse_job(j.dump())), without_dependencies);
   }
   j["waitsOn"] = {"j-2", "j-1", "j-2"};
   EXPECT_EQ(parse_job(j.dump()).needs, (std::vector<std::string>{"j-2", "j-1"}));
@@ -49,7 +49,7 @@
   EXPECT_EQ(parse_job(j.dump()).needs.size(), 5000U);
 }
 
-TEST(Job, BadInputIsRefusedWithAReason) {
+TEST(Job, InvalidFieldsAreRejectedByName) {
   const auto refused = [](const char* name, Json value) {
     Json j = testing::job_json();
     if (value.is_discarded())
@@ -86,7 +86,7 @@
   EXPECT_THROW(parse_job(std::string(kMaxBody + 1, ' ')), Malformed);
 }
 
-TEST(Report, IsRead) {
+TEST(Report, AllFieldsAreParsed) {
   const auto r =
       parse_report(R"({"rig":"i-000231","endpoint":"10.1.0.232:9000","rigtype":"g8","site":"a","loaner":true,
      "stint":1,"tally":88,"baton":41,"warningS":7.5,"new":[],
@@ -100,7 +100,7 @@
   EXPECT_EQ(*r.notice, 7'500'000);
 }
 
-TEST(Orders, AreWrittenAsTheProtocolHasThem) {
+TEST(Orders, AreWrittenInProtocolForm) {
   const std::vector<Order> orders{{Order::Verb::launch, "j-1", 4, 2, 0},
                                   {Order::Verb::halt, "j-2", 1, 1, 10 * kSecond}};
   EXPECT_EQ(report_answer(41, orders), R"({"baton":41,"orders":[{"piece":"j-1/4","try":2,"verb":"launch"},)"
@@ -108,8 +108,8 @@
 }
 
 // Whatever comes from outside, a parser returns or throws; it never crashes.
-TEST(Parsers, SurviveDamagedInput) {
-  const std::string good[] = {
+TEST(Parsers, OnlyThrowOnDamagedInput) {
+  const std::string valid[] = {
       testing::job_json().dump(),
       R"({"rig":"i-1","endpoint":"1.2.3.4:5","rigtype":"t","site":"a","loaner":true,"stint":1,"tally":8,"baton":4,"pieces":[{"piece":"j-1/0","try":1,"status":"ended","cause":"done"}]})",
       R"({"rows":[{"path":"a","value":{"x":1},"stamp":3}],"hasNext":false,"ledgerRev":9})",
@@ -118,7 +118,7 @@
   std::mt19937 random(7);
   int parsed = 0, refused = 0;
   for (int round = 0; round < 4000; ++round) {
-    std::string s = good[random() % std::size(good)];
+    std::string s = valid[random() % std::size(valid)];
     for (int k = static_cast<int>(random() % 4); k > 0 && !s.empty(); --k) {
       const std::size_t at = random() % s.size();
       switch (random() % 4) {
@@ -136,8 +136,8 @@
           break;
       }
     }
-    for (int which = 0; which < 5; ++which) try {
-        switch (which) {
+    for (int parser = 0; parser < 5; ++parser) try {
+        switch (parser) {
           case 0:
             parse_job(s);
             break;
