--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Old and new versions run together and on each other's data: what the version in production wrote is read,
-// and what we write is what it reads. tests/kept/ has its rows and frames, taken from that version itself.
+// Old and new versions run together and on each other's data: this version reads what the production version
+// wrote, and writes only what that version can read. tests/kept/ has rows and frames that the production
+// version wrote.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,7 +14,7 @@
 namespace aspenwick {
 namespace {
 
-/// The lines of a kept file: a name, and the rest of its line.
+/// The lines of a file in tests/kept/, but for comments: the first word, and the rest of the line.
 std::vector<std::pair<std::string, std::string>> read_production_data(const std::string& file) {
   std::ifstream in(std::string(KEPT) + "/" + file);
   std::vector<std::pair<std::string, std::string>> lines;
@@ -32,7 +33,7 @@
 }
 
 TEST(Compatibility, FramesOfTheProductionVersionAreReadAndWrittenUnchanged) {
-  // It drops the connection on another version, an unknown type or a byte too many.
+  // The production version drops the connection on another version, an unknown type or excess bytes.
   for (const auto& [name, hex] : read_production_data("production-frames.txt"))
     EXPECT_EQ(share::encode(share::decode(from_hex(hex))), from_hex(hex)) << name;
 }
@@ -62,8 +63,8 @@
 }
 
 TEST(Compatibility, RecordsAddOnlyOptionalFields) {
-  // That version takes from a record `st`, `at` and, unless the job is done, `spec`; the rest it ignores and
-  // loses.
+  // The production version reads `st`, `at` and, unless the job is done, `spec` from a record. It ignores all
+  // other fields, and drops them when it writes the record again.
   job::JobRecord r;
   auto j = testing::job_json();
   j["waitsOn"] = {"j-1", "j-2"};
@@ -95,7 +96,8 @@
   EXPECT_EQ(restored.parts, rows.parts.size());
   EXPECT_EQ(restored.parts_tag, "tag");
   EXPECT_FALSE(restored.spec);
-  // Withdrawn, an old large record must be written again: what stopping its tasks needs is kept.
+  // When the job of an old large record is cancelled, the record is written again within the limit: it keeps
+  // what stopping the tasks needs.
   j["rigtypes"] = std::vector<std::string>(100, std::string(180, 't'));
   j["jobclass"] = std::string(200, '\1');
   r.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(j));
@@ -105,7 +107,8 @@
   EXPECT_EQ(job::record_from_json(cancelled, 4).spec->need, r.spec->need);
 }
 
-/// An owner of one job of 20,000 tasks, whose whole chunk takes more than a value may.
+/// The controller of a share with one job of 20,000 tasks, under a value limit below the size of a full
+/// chunk.
 class LargeJobTest : public ::testing::Test {
  protected:
   LargeJobTest() {
@@ -124,7 +127,7 @@
     controller->on_machine_record({"i-1", "127.0.0.1:9", "cpu8", "z1"}, true, 0);
     return controller;
   }
-  /// The machine says that these tasks are done; how many of them it may forget.
+  /// The machine reports tasks [from, to) as done. Returns how many of them the response lets it forget.
   std::size_t report_done(share::ShareController& controller, std::uint32_t from, std::uint32_t to) {
     wire::WorkerReport r;
     r.machine = "i-1", r.session = 1, r.seq = ++seq_, r.token = 5ULL << 20;
@@ -132,6 +135,7 @@
       r.tasks.push_back({"j-000412", i, 1, wire::TaskState::exited, wire::Cause::done, false});
     return controller.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
   }
+  /// Writes all rows that are due, successfully, and returns them.
   static std::vector<share::ShareController::DoneWrite> write_done_rows(share::ShareController& controller) {
     auto writes = controller.take_done_writes(100);
     for (const auto& w : writes) controller.on_done_write_result(w, true, 3);
@@ -150,7 +154,8 @@
   report_done(*controller, 0, 300);
   auto first_writes = write_done_rows(*controller);
   ASSERT_EQ(first_writes.size(), 1U);
-  EXPECT_EQ(share::ShareController::row_name(first_writes[0].row), "0");  // every version reads this one
+  EXPECT_EQ(share::ShareController::row_name(first_writes[0].row),
+            "0");  // a chunk, which every version reads
   EXPECT_EQ(report_done(*controller, 0, 300), 300U);
   report_done(*controller, 7900, 8300);
   auto later_writes = write_done_rows(*controller);
@@ -160,11 +165,11 @@
     EXPECT_LE(w.text.size() + 2, platform_.value_room());
   }
   EXPECT_EQ(names, (std::vector<std::string>{"u/3", "u/4"}));
-  // An older version could take over, and reads no units: the workers keep those results.
+  // An older version, which reads no units, could take over: the workers must keep those results.
   EXPECT_EQ(report_done(*controller, 7900, 8300), 0U);
   controller->set_all_controllers_read_units(true);
-  EXPECT_EQ(report_done(*controller, 7900, 8300), 300U);  // as many as one answer takes
-  // A successor finds all of them.
+  EXPECT_EQ(report_done(*controller, 7900, 8300), 300U);  // the most that one response holds
+  // A successor loads all of them.
   auto successor = make_controller();
   for (const auto& w : {first_writes[0], later_writes[0], later_writes[1]})
     successor->load_done("j-000412", w.row, w.text, 3);
@@ -189,7 +194,7 @@
   const std::uint32_t unit_row = share::ShareController::kFirstUnitRow + 5;
   EXPECT_EQ(share::ShareController::parse_row_name("j-1/u/5"),
             (std::pair<std::string, std::uint32_t>{"j-1", unit_row}));
-  // It cuts at the last slash and looks the job up by what is before it.
+  // The older version splits the name at the last slash and looks up the first part as a job id.
   const std::string name = "j-1/" + share::ShareController::row_name(unit_row);
   EXPECT_FALSE(wire::valid_job_id(name.substr(0, name.rfind('/'))));
   for (const char* bad : {"", "j-1", "j-1/", "j-1/x", "j-1/u/", "j-1/99999999999"})
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -1,3 +1,4 @@
+// Encoding and decoding of the frames between nodes.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -59,7 +60,8 @@
 }
 
 TEST(Frame, GossipOfANodeThatOwnsAllSharesFits) {
-  // At 32 KiB the link dropped whoever held every share of some 400 machines, and its peers took it for dead.
+  // With frames limited to 32 KiB, the link to a node that owned all shares, with some 400 machines, was
+  // dropped, and its peers took the node for dead.
   Gossip g = full_gossip();
   const ShareReport report = g.shares[0];
   g.shares.clear();
@@ -72,7 +74,7 @@
 }
 
 TEST(Frame, EncodingIsIndependentOfTheMachine) {
-  // Big-endian, whatever the machine: magic, version, type, length, then the fields.
+  // Big-endian on every machine: magic, version, type, length, then the fields.
   EXPECT_EQ(encode(StatusRequest{0x01020304, "j-1"}),
             std::string("\xA5\xE7\x02\x03\0\0\0\x08\x01\x02\x03\x04\x03j-1", 16));
 }
@@ -90,10 +92,10 @@
 }
 
 TEST(Frame, GossipLargerThanAFrameIsSplit) {
-  // A longer frame makes the peer drop the connection: whoever holds thousands of machines would seem dead.
+  // A peer drops the connection on a longer frame: a node that owns thousands of machines would seem dead.
   Gossip g = full_gossip();
   const ShareReport report = g.shares[0];
-  EXPECT_EQ(encode_gossip(g), std::vector<std::string>{encode(g)});  // as ever while it fits
+  EXPECT_EQ(encode_gossip(g), std::vector<std::string>{encode(g)});  // unchanged while it fits
   g.shares.clear();
   for (int s = 0; s < 5; ++s) {
     g.shares.push_back({s, true, report.demands, {}});
@@ -108,7 +110,7 @@
     for (const auto& s : part.shares) machines[s.share] = s.machines.size();
   }
   for (int s = 0; s < 4; ++s) EXPECT_EQ(machines[s], 1000U);
-  EXPECT_GT(machines[4], 2000U);  // as many as fit
+  EXPECT_GT(machines[4], 2000U);  // as many as fit into one frame
 }
 
 TEST(Frame, CorruptedFramesOnlyThrowBadFrame) {
--- a/tests/graph_test.cpp
+++ b/tests/graph_test.cpp
@@ -1,4 +1,5 @@
-// Long and wide graphs of jobs; what users and machines see of pipelines is in tests/traces/.
+// The dependency graph of jobs at large depth and width. tests/traces/ has the tests of pipelines as users
+// and machines see them.
 #include "job/graph.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
 };
 
 TEST_F(GraphTest, CancellationPropagatesThroughALongChain) {
-  constexpr int kJobs = 50'000;  // deep enough to end a recursion
+  constexpr int kJobs = 50'000;  // deep enough for a recursion to overflow the stack
   add_job(0, {});
   for (int i = 1; i < kJobs; ++i) add_job(i, {i - 1});
   EXPECT_FALSE(graph_.has_cancelled_dependency(job_id(kJobs - 1)));
@@ -64,7 +65,7 @@
 
 TEST_F(GraphTest, DependenciesSharedByManyPathsAreCountedOnce) {
   add_job(0, {});
-  for (int layer = 0; layer < 60; ++layer) {  // 2^60 ways through
+  for (int layer = 0; layer < 60; ++layer) {  // 2^60 paths
     const int last = 3 * layer;
     add_job(last + 1, {last});
     add_job(last + 2, {last});
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,5 +1,5 @@
-// Sockets: who has connections to us, what is closed when room runs short, pushes within their bound, a port
-// that is still in use.
+// Limits on sockets: which accepted connections are closed under pressure, how many the client opens, and
+// retries on a port that is still in use.
 #include "net/http.h"
 
 #include <arpa/inet.h>
@@ -28,10 +28,10 @@
   for (int i = 0; i < 10; ++i) c.used(&ids[i], Connections::Owner::machine);
   for (int i = 10; i < 16; ++i) c.used(&ids[i], Connections::Owner::other);
   for (int i = 0; i < 16; ++i) c.answered(&ids[i]);
-  EXPECT_TRUE(c.ask_to_close(&ids[12]));  // 16 of 20
-  EXPECT_FALSE(c.ask_to_close(&ids[3]));  // machines report for good
+  EXPECT_TRUE(c.ask_to_close(&ids[12]));  // 16 of 20 are open
+  EXPECT_FALSE(c.ask_to_close(&ids[3]));  // machines keep their connections
   EXPECT_TRUE(c.to_close().empty());
-  c.used(&ids[10], Connections::Owner::other);  // asks, and has no answer yet
+  c.used(&ids[10], Connections::Owner::other);  // has a request without a response
   for (int i = 16; i < 20; ++i) c.used(&ids[i], Connections::Owner::machine);
   EXPECT_EQ(c.to_close(), (std::vector<Connections::Id>{&ids[11], &ids[12]}));
   c.closed(&ids[11]);
@@ -86,7 +86,7 @@
   EXPECT_EQ(server->connections().machines(), 16U);
   EXPECT_LE(server->connections().open(), 19U);
   char c = 0;
-  run_until([&] {  // the first user's connection is closed: an end, or an error, after the answer
+  run_until([&] {  // the first user's connection is closed: end of stream, or an error, after the response
     ssize_t n = 0;
     while ((n = recv(user_fds[0], &c, 1, MSG_DONTWAIT)) == 1) {
     }
--- a/tests/job_api_test.cpp
+++ b/tests/job_api_test.cpp
@@ -1,4 +1,5 @@
-// What users send, field by field, and what they are told when records, reads and answers come in any order.
+// The API for jobs: validation of every field, and the status that users get when records, reads and
+// responses arrive in any order.
 #include <algorithm>
 #include <limits>
 
@@ -11,15 +12,16 @@
 using net::Method;
 
 struct JobApiTest : NodeTest {
-  /// Whether anything of the job was written.
+  /// Whether any commit named the job.
   static bool was_written(const SmallWorld& w, const std::string& id) {
     return std::any_of(w.commits.begin(), w.commits.end(),
                        [&](const auto& text) { return text.find(id) != std::string::npos; });
   }
 };
 
-// Each field left out, null, of another type, out of range: 400 with a reason that names it, or 422 for what
-// can never run; never a 5xx, and nothing is written. What may be null may be left out (PROTOCOL).
+// Each field missing, null, of another type, or out of range: 400 with an error that names it, or 422 for
+// jobs that can never run. It is never a 5xx, and nothing is written. Fields that may be null may be absent
+// (PROTOCOL).
 TEST_F(JobApiTest, InvalidAndUnschedulableJobsAreRejected) {
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
@@ -44,7 +46,7 @@
       {"waitsOn", {"j-1", 1, Json::object(), {1}, {"x-1"}, {""}}}};
   for (const char* f : {"jobclass", "owner", "shape", "rank"}) invalid_fields.push_back({f, invalid_texts});
   for (const char* f : {"shape", "rank"}) invalid_fields.push_back({f, {"some", "Array", "LOW"}});
-  auto bundle = invalid_texts;  // no image at all is one
+  auto bundle = invalid_texts;  // an empty image name is valid
   std::erase(bundle, Json(""));
   invalid_fields.push_back({"bundle", bundle});
   for (const char* f : {"vcpus", "cards", "ramGb", "sizeGb", "guessS", "snapshotEveryS", "snapshotS"})
@@ -65,7 +67,7 @@
           << response.body << j.dump();
       EXPECT_FALSE(was_written(w, id)) << j.dump();
     }
-  // Twice, one of them good: whoever reads the job elsewhere may take the other one.
+  // Duplicate fields, one of them valid, are rejected: another parser may use the other one.
   for (const char* duplicate : {R"("vcpus":1.0,)", R"("rank":"production",)", R"("site":"z1",)"}) {
     const std::string id = "j-" + std::to_string(++n);
     std::string text = submission_json(id, 1).dump();
@@ -96,33 +98,34 @@
     EXPECT_FALSE(response.body.value("error", "").empty());
     EXPECT_FALSE(was_written(w, id)) << j.dump();
   }
-  for (const char* shape : {"group", "service"}) {  // an array is limited task by task
+  for (const char* shape : {"group", "service"}) {  // an array's limit applies to each task
     const std::string id = "j-" + std::to_string(++n);
     auto j = submission_json(id, 5);
     j["owner"] = "tight", j["shape"] = shape;
     EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", j).status, 422) << j.dump();
     EXPECT_FALSE(was_written(w, id));
   }
-  auto spread = submission_json("j-600000", 2);  // at most one of the two in a zone, and they have one zone
+  auto spread =
+      submission_json("j-600000", 2);  // at most one task in each zone, but only one zone is allowed
   spread["shape"] = "group", spread["spread"] = true, spread["site"] = "z1";
   EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
   spread["site"] = nullptr, spread["together"] = true;
   EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
 
-  // What may be null may be left out.
+  // Fields that may be null may be absent.
   auto minimal = submission_json("j-600001", 1);
   for (const char* f : {"rigtypes", "site", "dueS"}) minimal.erase(f);
   EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", minimal).status, 201);
 }
 
-// A retry of an accepted job is never refused: not by a node that has not heard of it yet, whatever it makes
-// of the job itself by its own limits, types and records.
+// A retry of an accepted job is never rejected, not even by a node that doesn't know the job yet and finds it
+// invalid by its own limits, machine types and records.
 TEST_F(JobApiTest, RetriesOfAcceptedJobsAreNeverRejected) {
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
   EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-1", 1)).status, 201);
   w.engine.run_for(kSecond);
-  // Accepted elsewhere a moment ago, while the limits and types were others: no watch has told of it.
+  // Accepted by another node a moment ago, under other limits and types; no watch has delivered it yet.
   auto large = submission_json("j-2", 1);
   large["vcpus"] = 17.0;
   auto record = w.store.keys.at("s/job/j-1").value;
@@ -133,15 +136,15 @@
   bad["waitsOn"] = 1;
   w.store.set("s/job/j-3", record, 0);
   EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", bad).status, 200);
-  // While the state service can't be asked nothing is refused for good either.
+  // While the state service is unavailable, nothing is rejected for good either.
   auto unknown = submission_json("j-4", 1);
   unknown["vcpus"] = 17.0;
   w.state_refuses = {"b"};
   EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", unknown).status, 503);
 }
 
-// Our commit was executed, the answer comes late, and the user was told by another node meanwhile that the
-// job is over: what we tell then is not that it is queued.
+// A submission's commit is executed, but its response is late, and meanwhile another node has told the user
+// that the job is cancelled. The late response must not report the job as queued.
 TEST_F(JobApiTest, ALateCommitResponseReportsTheNewestStatus) {
   SmallWorld w;
   w.engine.run_for(20 * kSecond);
@@ -159,8 +162,8 @@
   EXPECT_EQ(responses[0].body.value("status", ""), "withdrawn");
 }
 
-// The owner's word on a job takes its time, and the job is called off at the node that asked: it is not told
-// as queued after that.
+// While the owner's reply on a job is delayed, the job is cancelled at the node that waits for the reply. The
+// job must not be reported as queued after that.
 TEST_F(JobApiTest, ALatePeerReplyReportsNoOlderStatus) {
   SmallWorld w;
   w.run_time = 600 * kSecond;
@@ -173,16 +176,17 @@
     ++reported_running;
   }
   EXPECT_EQ(reported_running, 3);
-  // Slow, it does not go back from running to queued.
+  // While frames are held, the status does not go back from running to queued.
   w.hold_frames = {"a", "b", "c"};
   for (const auto& node : kNodes)
     EXPECT_EQ(w.ask(node, Method::get, "/v1/jobs/j-1").body.value("status", ""), "running") << node;
   std::vector<Answer> responses;
   for (const auto& node : kNodes)
     w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Answer& a) { responses.push_back(a); });
-  w.engine.run_for(60 * kMillisecond);  // read afresh; the owner is being asked
+  w.engine.run_for(60 * kMillisecond);  // the records were read again, and the owner is being asked
   const auto before = responses.size();
-  // The owner knows it, and can't say so: the user comes again, and nobody is told anything older meanwhile.
+  // The owner knows of the cancellation, but its reply can't arrive: the user retries, and meanwhile no
+  // response reports an older status.
   Answer cancelled;
   for (int i = 0; i < 10 && cancelled.status != 200; ++i) {
     cancelled = w.ask("a", Method::post, "/v1/jobs/j-1/withdraw");
@@ -199,14 +203,14 @@
   EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-1").body.value("status", ""), "withdrawn");
 }
 
-/// A node's records alone: nothing is sent, nothing answered.
+/// Sends nothing and never responds.
 struct NullRequester : net::Requester {
   void request(net::Method, const wire::Endpoint&, const std::string&, const std::string&, Micros,
                net::Answered) override {}
 };
 
-// Records of a job come by the watch, a fresh read, a peer's word and our own commits, in any order and
-// again: in the end the last one stands, and what was over stays so all the way.
+// Records of a job come from the watch, fresh reads, peers and the node's own commits, in any order and
+// repeatedly. The newest one wins in the end, and a job that was final stays final throughout.
 TEST_F(JobApiTest, TheNewestRecordWinsInEveryOrderOfArrival) {
   Engine engine;
   NodeLoop loop(engine);
@@ -216,7 +220,7 @@
   job::JobRecord queued;
   queued.spec = std::make_shared<const wire::JobSpec>(wire::job_from_json(submission_json("j-1", 1)));
   queued.version = 10;
-  job::JobRecord in_parts = queued;  // as the watch has it before its parts
+  job::JobRecord in_parts = queued;  // as the watch delivers it, before its parts are read
   in_parts.spec.reset(), in_parts.parts = 1, in_parts.parts_tag = "t";
   for (const auto final_status : {wire::JobStatus::cancelled, wire::JobStatus::done}) {
     job::JobRecord final_record = queued;
@@ -251,8 +255,9 @@
   }
 }
 
-// A cancellation that a peer of the former version tells goes by no revision until its record comes: others
-// have read up to the open record's, which tells nothing of it.
+// A cancellation from a peer of the former version has no revision until the job's record arrives. It must
+// not get the revision of the open record: that others have read up to that doesn't mean that they know of
+// the cancellation.
 TEST_F(JobApiTest, ACancellationThatPrecedesItsRecordHasNoRevision) {
   Engine engine;
   NodeLoop loop(engine);
--- a/tests/latency_histogram_test.cpp
+++ b/tests/latency_histogram_test.cpp
@@ -1,7 +1,8 @@
-#include <gtest/gtest.h>
-
+// The histogram of latencies.
 #include "app/latency_histogram.h"
 
+#include <gtest/gtest.h>
+
 namespace aspenwick::app {
 namespace {
 
@@ -13,7 +14,7 @@
   EXPECT_NEAR(static_cast<double>(histogram.quantile(0.99)), 990e3, 99e3);
   EXPECT_EQ(histogram.count(), 1000U);
   histogram.record(0);
-  histogram.record(1'000'000 * kSecond);  // beyond the ends
+  histogram.record(1'000'000 * kSecond);  // below and above the range of the buckets
   EXPECT_EQ(histogram.count(), 1002U);
 }
 
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -1,5 +1,5 @@
-// The leader's errands without sockets: what it asks of the cloud, and what it makes of late or refused
-// answers.
+// The leader without sockets: which requests it sends to the cloud, and how it handles late and failed
+// responses.
 #include "app/leader.h"
 
 #include <gtest/gtest.h>
@@ -12,6 +12,7 @@
 namespace aspenwick::app {
 namespace {
 
+/// Keeps requests to the cloud until the test responds to them.
 struct FakeCloud : net::Requester {
   struct Request {
     std::string path, body;
@@ -22,6 +23,7 @@
                net::Answered done) override {
     pending.push_back({path, body, std::move(done)});
   }
+  /// Removes all pending requests, and returns those whose path has the prefix.
   std::vector<Request> take_requests(const std::string& path) {
     std::vector<Request> out;
     for (auto& c : std::exchange(pending, {}))
@@ -51,6 +53,7 @@
     demand.need = {wire::to_units(2), 0, wire::to_units(1)};
     demand.waiting = 8, demand.rank = wire::Rank::high, demand.slack_ms = 10'000;
   }
+  /// Runs the leader half a second later.
   void run_pass(std::uint64_t epoch) {
     now += kSecond / 2;
     leader.run(epoch);
@@ -60,7 +63,7 @@
 TEST_F(LeaderTest, RequestsMachineTypesOneAtATimeBeforePlanning) {
   run_pass(1), run_pass(1), run_pass(1);
   auto type_requests = cloud.take_requests("/flavors");
-  ASSERT_EQ(type_requests.size(), 1U);  // none while one is on its way
+  ASSERT_EQ(type_requests.size(), 1U);  // no second one while the first is pending
   type_requests[0].respond(503, "");
   EXPECT_EQ(types_received, 0);
   run_pass(1);
@@ -79,15 +82,16 @@
     if (c.path == "/rentals") rental_requests.push_back(std::move(c));
   ASSERT_FALSE(rental_requests.empty());
   leader.step_down();
-  rental_requests[0].respond(200,
-                             R"({"rigs":["i-000001"]})");  // too late: the next leader finds it in the list
+  rental_requests[0].respond(
+      200,
+      R"({"rigs":["i-000001"]})");  // too late: the next leader finds the machine in the list
   for (int i = 0; i < 6; ++i) run_pass(2);
   std::set<std::string> bodies;
   for (const auto& c : rental_requests) bodies.insert(c.body);
   int repeated = 0;
   for (const auto& c : cloud.take_requests("/rentals"))
     if (c.path == "/rentals") repeated += !bodies.insert(c.body).second;
-  EXPECT_EQ(repeated, 0);  // names of requests are never used twice
+  EXPECT_EQ(repeated, 0);  // idempotency keys are never reused
 }
 
 TEST_F(LeaderTest, StaysWithinTheCloudsRequestRate) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,4 +1,4 @@
-// Ports and connections on loopback.
+// Ports and connections on the loopback interface.
 #pragma once
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return address;
 }
 
-/// A port that was free a moment ago.
+/// A port that was free when the function returned; another process may take it.
 inline std::uint16_t free_port() {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = loopback_address(0);
@@ -28,6 +28,7 @@
   return ntohs(address.sin_port);
 }
 
+/// A connected socket, which the caller closes.
 inline int connect_to_port(std::uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   const sockaddr_in address = loopback_address(port);
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,4 +1,4 @@
-// For tests of whole nodes: jobs to submit, and what they write to the log kept quiet.
+// For tests of whole nodes: job submissions, and a fixture that limits the log.
 #pragma once
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -10,6 +10,7 @@
 
 namespace aspenwick::testing {
 
+/// A submission of job_json() with another id and number of tasks.
 inline Json submission_json(const std::string& id, int tasks) {
   auto j = job_json();
   j["nameId"] = id;
@@ -17,6 +18,7 @@
   return j;
 }
 
+/// Logs only warnings and errors, unless the environment variable VERBOSE is set.
 struct NodeTest : ::testing::Test {
   NodeTest() { spdlog::set_level(std::getenv("VERBOSE") ? spdlog::level::debug : spdlog::level::warn); }
   ~NodeTest() override { spdlog::set_level(spdlog::level::info); }
--- a/tests/parser_fuzz_test.cpp
+++ b/tests/parser_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Every parser of outside input, fed with valid messages that were damaged at random (fixed seeds): it reads
-// them or throws what its callers catch, and never more. The sanitizers watch.
+// Fuzzes every parser of external input with randomly damaged valid messages (fixed seeds). A parser must
+// succeed or throw a std::exception, which its callers catch; builds with sanitizers detect further errors.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -34,7 +34,8 @@
   return s;
 }
 
-/// Swaps one value for another kind of value: what is still JSON gets past the first check.
+/// Replaces one value by a value of another kind. The result is valid JSON, so that it gets past the JSON
+/// parser.
 std::string with_one_value_replaced(const std::string& text, std::mt19937& random) {
   auto j = wire::Json::parse(text).flatten();
   static const wire::Json kOddValues = {
@@ -54,7 +55,7 @@
         json && i % 2 ? with_one_value_replaced(valid, random) : mutated(valid, random);
     try {
       parse(invalid);
-    } catch (const std::exception&) {  // what every caller catches
+    } catch (const std::exception&) {  // caught by every caller
     }
   }
 }
@@ -100,7 +101,7 @@
   fuzz(job::record_to_json(record).dump(),
        [](const std::string& s) { job::record_from_json(wire::Json::parse(s), 1); });
   std::mt19937 random(7);
-  for (int i = 0; i < 400; ++i) {  // a done-set is text of ours, but it was stored elsewhere
+  for (int i = 0; i < 400; ++i) {  // a DoneSet's text was written by a node, but stored outside it
     job::DoneSet done(100);
     done.merge_chunk(static_cast<std::uint32_t>(random() % 3), mutated("ff07a30", random));
     EXPECT_LE(done.count(), 100U);
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -1,4 +1,4 @@
-// The link between controllers over real sockets on loopback: what is no frame drops that connection only.
+// The link between controllers over real sockets on loopback: invalid frames close only their own connection.
 #include "share/peer_link.h"
 
 #include <arpa/inet.h>
@@ -40,7 +40,8 @@
   static void send_all(int fd, const std::string& bytes) {
     ASSERT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
   }
-  /// What came, or "closed". Turns the loop until then.
+  /// Runs the event loop until bytes arrive or the connection is closed. Returns the bytes, or "closed";
+  /// empty after about 2 s.
   std::string receive(int fd) {
     for (int turn = 0; turn < 2000; ++turn) {
       event_base_loop(base_, EVLOOP_NONBLOCK);
@@ -69,7 +70,7 @@
   expect_served(good);
   std::string bad_magic = encode(StatusRequest{1, "j"}), bad_version = bad_magic, bad_length = bad_magic;
   bad_magic[0] = 'G', bad_version[2] = 99, bad_length[4] = 0x7f;
-  // A body that is shorter than its fields: the header says 1 byte.
+  // A body that is shorter than its fields: the header announces 1 byte.
   std::string bad_fields =
       bad_magic.substr(0, 3) + encode(StatusRequest{1, "j"}).substr(3, 4) + std::string("\x01", 1) + "x";
   bad_fields[0] = '\xA5';
@@ -88,7 +89,7 @@
     send_all(fd, std::string(1, byte));
     event_base_loop(base_, EVLOOP_NONBLOCK);
   }
-  expect_served(other);  // while the first is not whole yet
+  expect_served(other);  // while the first connection has sent only part of a frame
   EXPECT_EQ(frames_, 1);
   send_all(fd, frame.substr(frame.size() - 1));
   EXPECT_EQ(std::get<StatusReply>(decode(receive(fd))).request, 9U);
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -1,3 +1,5 @@
+// The capacity planner: which machines it rents, moves between shares and returns, from reports of the
+// shares.
 #include "fleet/provisioner.h"
 
 #include <gtest/gtest.h>
@@ -24,6 +26,8 @@
     d.estimated_run_ms = 30'000, d.slack_ms = 10'000;
     return d;
   }
+  /// Adds a cpu8 machine in z1 to the records, and returns the state of it that its share reports: empty,
+  /// idle for so long.
   share::MachineState add_machine(const std::string& id, int share, Micros idle) {
     MachineRecord r;
     r.id = id, r.type = "cpu8", r.zone = "z1", r.share = share;
@@ -47,7 +51,7 @@
       provisioner_.tick(now_, {{0, true, {demand(2, 8, true, wire::Rank::high)}, {}}}, records_));
   ASSERT_EQ(rents.size(), 1U);
   EXPECT_TRUE(rents[0].spot);
-  EXPECT_EQ(rents[0].count, 2);  // four tasks of 2 CPUs to a machine
+  EXPECT_EQ(rents[0].count, 2);  // each holds four tasks of 2 CPUs
   Provisioner other{platform_, types_, {}};
   EXPECT_FALSE(actions_of_type<RentMachines>(
                    other.tick(now_, {{0, true, {demand(2, 8, false, wire::Rank::high)}, {}}}, records_))[0]
@@ -75,14 +79,14 @@
 }
 
 TEST_F(ProvisionerTest, DrainsPartlyUsedMachinesForAShareWithAFarLargerBacklog) {
-  // Machines on which a share's own short work comes and goes are hardly ever empty: without this, a share
-  // that was first kept hundreds while thousands of tasks waited in another.
+  // Machines that run a share's short tasks are hardly ever empty. Without rebalancing, the share that rented
+  // first kept hundreds of machines while thousands of tasks waited in another.
   ShareReport donor{0, true, {demand(2, 0, true, wire::Rank::low)}, {}};
   donor.demands[0].running = 30;
   for (int i = 0; i < 10; ++i) {
     auto m = add_machine("i-00000" + std::to_string(i), 0, 0);
     m.empty = false;
-    m.free.cpus -= wire::to_units(i < 5 ? 2 : 8);  // the later ones are full
+    m.free.cpus -= wire::to_units(i < 5 ? 2 : 8);  // the last five are full
     if (i == 0) m.top_rank = wire::Rank::production;
     donor.machines.push_back(m);
   }
@@ -90,18 +94,18 @@
   recipient.demands[0].running = 10;
   auto moves = actions_of_type<MoveMachine>(provisioner_.tick(now_, {donor, recipient}, records_));
   ASSERT_FALSE(moves.empty());
-  EXPECT_LE(moves.size(), 2U);  // a few at a time
+  EXPECT_LE(moves.size(), 2U);  // only a few in each pass
   EXPECT_EQ(moves[0].to, 1);
   EXPECT_TRUE(moves[0].drain);
-  EXPECT_EQ(moves[0].rank, wire::Rank::low);  // nothing is stopped for it
-  EXPECT_EQ(moves[0].machine, "i-000001");    // not that which a replica keeps, nor a full one
+  EXPECT_EQ(moves[0].rank, wire::Rank::low);  // no task is stopped
+  EXPECT_EQ(moves[0].machine, "i-000001");    // neither the one with a production task nor a full one
   std::set<std::string> moved;
   for (int i = 0; i < 60; ++i)
     for (const auto& m :
          actions_of_type<MoveMachine>(provisioner_.tick(now_ += kSecond / 2, {donor, recipient}, records_)))
       moved.insert(m.machine);
-  EXPECT_LE(moved.size(), 4U);  // half of what it has, at most, and never full ones
-  // Not while the share that would give has nearly as much in hand.
+  EXPECT_LE(moved.size(), 4U);  // at most half of its machines, and never full ones
+  // Nothing is moved while the donor has nearly as large a backlog.
   Provisioner other{platform_, types_, {}};
   donor.demands[0].waiting = 900;
   EXPECT_TRUE(actions_of_type<MoveMachine>(other.tick(now_, {donor, recipient}, records_)).empty());
@@ -126,7 +130,7 @@
       provisioner_.tick(now_, {{0, true, {}, {idle, lost_machine, busy}}}, records_));
   ASSERT_EQ(moves.size(), 2U);
   for (const auto& m : moves) EXPECT_EQ(m.to, -1);
-  // Only when its owner has let it go is it deleted.
+  // A machine is deleted only after its owner has released it.
   EXPECT_TRUE(actions_of_type<DeleteMachines>(provisioner_.tick(now_, {}, records_)).empty());
   records_["i-000001"].share = -1;
   EXPECT_EQ(actions_of_type<DeleteMachines>(provisioner_.tick(now_, {}, records_)).size(), 1U);
@@ -141,8 +145,8 @@
 }
 
 TEST_F(ProvisionerTest, MovesMachinesForAGangOnlyIfAllOfItFitsInOneZone) {
-  // Two machines each in z1 and z2 of another share: a gang of three would get a move every tick and never
-  // start.
+  // Another share has two idle machines each in z1 and z2. A gang of three fits in neither zone; moving
+  // machines for it would cause a move every tick, and the gang would never start.
   ShareReport idle{0, true, {}, {}};
   for (const char* id : {"i-000001", "i-000002", "i-000003", "i-000004"})
     idle.machines.push_back(add_machine(id, 0, 3 * kSecond));
@@ -163,20 +167,20 @@
 }
 
 TEST_F(ProvisionerTest, RentsInBulkWithinTheZoneLimit) {
-  // Ninety services at a cold start, told as one demand: machines come by the dozen, half of the tasks a
-  // zone.
+  // 96 service tasks at a cold start, reported as one demand: twelve machines are rented in two requests, each
+  // in a zone of its own for half of the tasks.
   share::Demand d = demand(1, 96, false, wire::Rank::production);
   d.shape = wire::Shape::service, d.max_per_zone = 48;
   const auto rents = actions_of_type<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_));
   ASSERT_EQ(rents.size(), 2U);
   EXPECT_NE(rents[0].zone, rents[1].zone);
   EXPECT_EQ(rents[0].count + rents[1].count, 12);
-  // Not yet answered, they count as coming.
+  // Machines of unanswered requests count as capacity.
   EXPECT_TRUE(actions_of_type<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, DoesNotRentExpensiveMachinesForWorkWithEnoughSlack) {
-  // Ordinary machines cost 0.8 and spot ones 0.3 for eight tasks; GPU machines ten times as much.
+  // cpu8 machines hold eight tasks and cost 0.8, or 0.3 as spot; GPU machines cost ten times as much.
   share::Demand d = demand(1, 60, true, wire::Rank::low);
   d.slack_ms = 240'000;
   for (const auto& z : types_[0].zones)
@@ -186,13 +190,13 @@
   Provisioner other{platform_, types_, {}};
   for (const auto& z : types_[0].zones)
     for (const bool spot : {true, false}) other.rented({0, z, spot, 1, -1}, 503, {}, now_);
-  d.running = 16;  // in 144 s these do it
+  d.running = 16;  // these finish the backlog in 144 s
   EXPECT_TRUE(actions_of_type<RentMachines>(other.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, DoesNotRentForLaterDeadlinesThatRunningMachinesMeet) {
-  // Four jobs of 40 tasks due one after another: 16 slots do all of it in time, earliest first. Each by
-  // itself they would want twice as many, on dear machines.
+  // Four jobs of 40 tasks with staggered deadlines: 16 slots finish all in time if the earliest deadline goes
+  // first. Planned one by one, the jobs would need twice as many slots, on expensive machines.
   ShareReport reports{0, true, {}, {}};
   for (std::uint32_t n = 1; n <= 4; ++n) {
     share::Demand d = demand(1, 40, true, wire::Rank::low);
@@ -227,20 +231,20 @@
   records_["i-000001"].spot = true;
   spot.free = types_[1].total, on_demand.free = {}, on_demand.empty = false,
   on_demand.top_rank = wire::Rank::normal;
-  provisioner_.tick(now_, {{0, true, {d}, {}}}, records_);  // learns that the type is wanted
+  provisioner_.tick(now_, {{0, true, {d}, {}}}, records_);  // GPU work that can use the type is noted
   EXPECT_TRUE(
       actions_of_type<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot, on_demand}}}, records_))
           .empty());
   EXPECT_EQ(actions_of_type<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot}}}, records_)).size(),
             1U);
-  // Left over in one share, it goes to the one whose gang runs on an ordinary machine.
+  // Idle in one share, it is moved to the share whose gang runs on an on-demand machine.
   records_["i-000002"].share = 1;
   const auto moves = actions_of_type<MoveMachine>(
       provisioner_.tick(now_, {{0, true, {}, {spot}}, {1, true, {}, {on_demand}}}, records_));
   ASSERT_EQ(moves.size(), 1U);
   EXPECT_EQ(moves[0].to, 1);
   records_["i-000002"].share = 0;
-  // Unused for long, it goes back all the same.
+  // Idle for too long, it is returned all the same.
   spot.idle_ms = 300'000;
   EXPECT_EQ(
       actions_of_type<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot, on_demand}}}, records_))
@@ -248,9 +252,9 @@
       1U);
 }
 
-// Its own share has nothing left, the cloud neither: another share's machine with room, which never ran
-// empty, takes no more and comes to it. Not before it was passed over for long, and not where GPUs are in
-// use.
+// The job's own share has no free capacity and the cloud has no machines. A machine of another share that has
+// unused capacity, but is never empty, is drained and moved. This happens only for a starved job, and not to
+// machines whose GPUs are in use.
 TEST_F(ProvisionerTest, DrainsAnUnderusedMachineOfAnotherShareForAStarvedJob) {
   share::Demand d = demand(2, 1, false, wire::Rank::low);
   auto busy = add_machine("i-000001", 0, 0), busier = add_machine("i-000002", 0, 0),
@@ -272,27 +276,27 @@
   };
   EXPECT_TRUE(moves(now_).empty());
   d.starved = true;
-  EXPECT_TRUE(moves(now_ + kSecond).empty());  // between two tasks there is always some
+  EXPECT_TRUE(moves(now_ + kSecond).empty());  // too short: some is always free between two tasks
   const auto moved = moves(now_ + 5 * kSecond);
   ASSERT_EQ(moved.size(), 1U);
   EXPECT_EQ(moved[0].machine, "i-000001");
   EXPECT_TRUE(moved[0].drain);
   EXPECT_EQ(moved[0].to, 1);
-  EXPECT_EQ(moved[0].rank, wire::Rank::low);  // what runs there may end
-  // It takes longer than a drain lasts.
+  EXPECT_EQ(moved[0].rank, wire::Rank::low);  // its tasks may finish
+  // Its tasks run for longer than a drain lasts: the drain is renewed.
   EXPECT_TRUE(moves(now_ + 6 * kSecond).empty());
   const auto later_moves = moves(now_ + 36 * kSecond);
   ASSERT_EQ(later_moves.size(), 1U);
   EXPECT_EQ(later_moves[0].machine, "i-000001");
 }
 
-// Machines that GPU work wants are not rented for other work, but where no other could hold it.
+// Machine types that GPU work can use are rented for other work only if no other type can hold it.
 TEST_F(ProvisionerTest, RentsAGpuMachineForOtherWorkThatFitsNoOtherType) {
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
   training.need.gpus = wire::to_units(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   share::Demand large = demand(12, 1, true, wire::Rank::normal);
   large.shape = wire::Shape::gang, large.type_mask = 2;
-  provisioner_.tick(now_, {{0, true, {training}, {}}}, records_);  // learns that the type is wanted
+  provisioner_.tick(now_, {{0, true, {training}, {}}}, records_);  // GPU work that can use the type is noted
   int rented = 0;
   for (const auto& r :
        actions_of_type<RentMachines>(provisioner_.tick(now_ + kSecond, {{1, true, {large}, {}}}, records_)))
@@ -301,8 +305,9 @@
 }
 
 TEST(RentalIdempotencyKeys, ContinueAfterAPauseAndNeverRepeat) {
-  // fresh-ff24: after a state outage the leader led again with its old epoch and counted from 1. The cloud
-  // answered with machines that were long up, which were then deleted as stragglers.
+  // After an outage of the state service the leader resumed with the same epoch and counted from 1 again. The
+  // cloud answered with machines of earlier requests, which had been running for long and were then deleted
+  // as booting too long (run fresh-ff24).
   RentalIdempotencyKeys keys;
   EXPECT_EQ(keys.next(8), "e8-1");
   EXPECT_EQ(keys.next(8), "e8-2");
--- a/tests/record_row_order_test.cpp
+++ b/tests/record_row_order_test.cpp
@@ -1,4 +1,4 @@
-// Rows and removals that reach a node in other orders than their revisions.
+// Rows and removals that reach a node out of the order of their revisions.
 #include "app/owned_shares.h"
 #include "app/records.h"
 #include "node_fixture.h"
@@ -6,7 +6,7 @@
 namespace aspenwick::testing {
 namespace {
 
-/// A node's records and keys, with a state service that never answers.
+/// A node's records and owner keys, with a state service that never answers.
 struct RecordRowOrderTest : NodeTest {
   struct NullRequester : net::Requester {
     void request(net::Method, const wire::Endpoint&, const std::string&, const std::string&, Micros,
@@ -31,9 +31,10 @@
   app::OwnedShares shares{platform, {}, {loop, store, records, [] {}}};
 };
 
-// All keys are read again, in many pages, and a machine is recorded after the first.
-// What happened: it is on none of the pages, was taken for removed, and its tasks were freed until the watch
-// told of it again. Why: a list of many pages is no snapshot, and a removal was not compared by revision.
+// All keys are read again, in several pages, and a machine is recorded after the first page was read. The
+// machine was on none of the pages, so it was taken for removed, and its tasks were freed until the watch
+// delivered its record again. A list of several pages is not a snapshot: a missing key counts as removed only
+// if its last known revision isn't newer than the first page.
 TEST_F(RecordRowOrderTest, KeysNewerThanTheFirstPageOfAListAreNotTakenForRemoved) {
   records.add_machine(machine_record("i-1", 10));
   records.add_machine(machine_record("i-2", 12));
@@ -44,10 +45,10 @@
   EXPECT_EQ(shares.missing_keys({}, 12, false), std::vector<std::string>{"s/holder/1"});
 }
 
-// Our own raised epoch is known by its commit's answer, ahead of the watch; pages of a list may be older than
-// that. What happened: the older row replaced the newer one, so that an owner with the raised epoch no longer
-// counted as the owner, or a key that was gone came back. Why: the last row told counted, whatever its
-// revision.
+// A node learns of its own raised epoch from the response to the commit, before the watch delivers it, and
+// pages of a list may be older. When the row that arrived last won, whatever its revision, an older row
+// replaced a newer one: an owner with the raised epoch no longer counted as the owner, or a removed key
+// reappeared.
 TEST_F(RecordRowOrderTest, OlderRowsOfAnOwnerKeyAreIgnored) {
   shares.apply(owner_row(3, 12));
   shares.apply(owner_row(2, 9));
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,3 +1,4 @@
+// Job records, their sets of finished tasks, and the check for jobs that can never run.
 #include "job/record.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
   r.submitted = 5;
   EXPECT_EQ(record_from_json(record_to_json(r), 3).spec->id, "j-000412");
   r.status = JobStatus::cancelled;
-  // Its tasks count against the team's limit until they are gone.
+  // The tasks of a cancelled job count against the team's limit until they have ended.
   EXPECT_EQ(record_from_json(record_to_json(r), 4).spec->team, "red");
   EXPECT_EQ(record_from_json(record_to_json(r), 4).status, JobStatus::cancelled);
   r.status = JobStatus::done;
@@ -53,14 +54,15 @@
   EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "unknown team");
   other = spec;
   other.need.gpus = wire::to_units(1);
-  other.zone = "z2";  // the only type with GPUs is not offered there
+  other.zone = "z2";  // where the only type with GPUs is not offered
   EXPECT_NE(unschedulable_reason(other, types, settings.teams), "");
   other.zone = "z1";
   EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "");
   other = spec;
   other.team = "tight";  // 8 CPUs at most
   other.tasks = 100;
-  EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "");  // an array: one task
+  EXPECT_EQ(unschedulable_reason(other, types, settings.teams),
+            "");  // in an array, one task has to fit
   other.shape = wire::Shape::gang;
   EXPECT_NE(unschedulable_reason(other, types, settings.teams), "");
 }
--- a/tests/report_test.cpp
+++ b/tests/report_test.cpp
@@ -1,5 +1,5 @@
-// Workers' reports are read from simdjson's tape. The plain reading over a tree of values is kept here as the
-// oracle: whatever comes, both read the same or both refuse it.
+// Workers' reports are parsed with simdjson. The reference here is a simple parser over a JSON tree: on any
+// input, both must give the same report or both reject it.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -28,7 +28,7 @@
   if (!v.is_string()) throw Malformed(std::string("not a string: ") + name);
   auto s = v.get<std::string>();
   if ((s.empty() && !may_be_empty) || s.size() > kMaxName)
-    throw Malformed(std::string("bad length: ") + name);
+    throw Malformed(std::string("invalid length: ") + name);
   return s;
 }
 
@@ -36,14 +36,14 @@
   const Json& v = field(j, name);
   if (!v.is_number()) throw Malformed(std::string("not a number: ") + name);
   double d = v.get<double>();
-  // The upper bound keeps sums of the largest job inside 64 bits.
+  // The upper bound keeps the sums over the largest job within 64 bits.
   if (!std::isfinite(d) || d < 0 || d > 1e7) throw Malformed(std::string("out of range: ") + name);
   return d;
 }
 
 bool bool_field(const Json& j, const char* name) {
   const Json& v = field(j, name);
-  if (!v.is_boolean()) throw Malformed(std::string("not true or false: ") + name);
+  if (!v.is_boolean()) throw Malformed(std::string("not a boolean: ") + name);
   return v.get<bool>();
 }
 
@@ -67,14 +67,14 @@
   return static_cast<Enum>(it - names.begin());
 }
 
-/// "j-000412/3" -> job and index.
+/// Splits a task name such as "j-000412/3" into job id and index.
 std::pair<std::string, std::uint32_t> parse_task(const std::string& s) {
   const auto slash = s.rfind('/');
   std::uint32_t index = 0;
-  if (slash == std::string::npos || slash == 0 || slash + 1 == s.size()) throw Malformed("bad task name");
+  if (slash == std::string::npos || slash == 0 || slash + 1 == s.size()) throw Malformed("invalid task name");
   const char* end = s.data() + s.size();
   auto [p, ec] = std::from_chars(s.data() + slash + 1, end, index);
-  if (ec != std::errc{} || p != end || index >= kMaxTasks) throw Malformed("bad task name");
+  if (ec != std::errc{} || p != end || index >= kMaxTasks) throw Malformed("invalid task name");
   return {s.substr(0, slash), index};
 }
 
@@ -94,7 +94,7 @@
   if (const Json* pieces = optional_field(j, "pieces")) {
     if (!pieces->is_array()) throw Malformed("not a list: pieces");
     for (const Json& p : *pieces) {
-      if (!p.is_object()) throw Malformed("bad entry: pieces");
+      if (!p.is_object()) throw Malformed("not an object: entry of pieces");
       TaskReport t;
       std::tie(t.job, t.index) = parse_task(string_field(p, "piece"));
       t.attempt = count_field(p, "try");
@@ -119,11 +119,12 @@
   return s;
 }
 
+/// The report as text, or "rejected".
 std::string parse_to_text(WorkerReport (*parse)(const std::string&), const std::string& body) {
   try {
     return to_text(parse(body));
   } catch (const Malformed&) {
-    return "refused";
+    return "rejected";
   }
 }
 
@@ -164,7 +165,7 @@
       const std::string body = changed.unflatten().dump();
       const std::string expected = parse_to_text(reference_parse_report, body);
       EXPECT_EQ(parse_to_text(parse_report, body), expected) << body;
-      ++(expected == "refused" ? rejected : accepted);
+      ++(expected == "rejected" ? rejected : accepted);
     }
   EXPECT_GT(rejected, 100);
   EXPECT_GT(accepted, 100);
@@ -181,7 +182,7 @@
   }
   for (std::size_t n = 0; n < kReport.size(); ++n) {
     const std::string truncated = kReport.substr(0, n);
-    EXPECT_EQ(parse_to_text(parse_report, truncated), "refused") << truncated;
+    EXPECT_EQ(parse_to_text(parse_report, truncated), "rejected") << truncated;
   }
 }
 
@@ -194,7 +195,7 @@
       body[random() % body.size()] = static_cast<char>(random() % 128);
     const std::string expected = parse_to_text(reference_parse_report, body);
     EXPECT_EQ(parse_to_text(parse_report, body), expected) << body;
-    accepted += expected != "refused";
+    accepted += expected != "rejected";
   }
   EXPECT_GT(accepted, 250);
 }
--- a/tests/result_writer_test.cpp
+++ b/tests/result_writer_test.cpp
@@ -1,4 +1,5 @@
-// An owner that gives a machine away while answers of the state service are lost and its epoch is raised.
+// An owner moves a machine to another share while a response of the state service is lost and its epoch is
+// raised.
 #include "app/result_writer.h"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 namespace aspenwick::testing {
 namespace {
 
-/// Node a with share 0 and one empty machine; its requests are answered by hand.
+/// Node a, which owns share 0 with one empty machine. The test responds to its requests.
 struct ResultWriterTest : NodeTest {
   struct Request {
     net::Method method;
@@ -22,13 +23,14 @@
                  Micros, net::Answered respond) override {
       pending.push_back({method, path, body, std::move(respond)});
     }
-    /// The first request whose path or body has the text; none: a failure.
+    /// Removes and returns the first request whose path or body contains the text; the test fails if there is
+    /// none.
     Request take(const std::string& text) {
       const auto it = std::find_if(pending.begin(), pending.end(), [&](const Request& r) {
         return (r.path + " " + r.body).find(text) != std::string::npos;
       });
       if (it == pending.end()) {
-        ADD_FAILURE() << "nothing asked about " << text;
+        ADD_FAILURE() << "no pending request contains " << text;
         return {net::Method::get, "", "", [](int, const std::string&) {}};
       }
       Request found = std::move(*it);
@@ -61,14 +63,15 @@
     m.address = "127.0.0.1:9", m.type = "cpu8", m.zone = "z1", m.share = share, m.epoch = 1;
     return share::machine_to_json(m);
   }
-  /// The machine may take tasks of our share.
+  /// Whether share 0 may place tasks on the machine.
   bool is_usable() {
     for (const auto& state : shares.find(0)->controller->machine_states(engine.now))
       if (state.id == "i-1") return state.usable;
     return false;
   }
+  /// Starts the move to share 1, whose commit gets no response, and then raises the epoch.
   void start_move_and_raise_epoch() {
-    records.refresh_jobs([](bool) {});  // what an owner acts on is to be fresh
+    records.refresh_jobs([](bool) {});  // owners act only on records that were read recently
     engine.run_for(100 * kMillisecond);
     http.take("/changes?under=s/job/").respond(200, R"({"news":[],"ledgerRev":9})");
     ASSERT_TRUE(is_usable());
@@ -81,7 +84,7 @@
     http.take("\"s/token/0\"").respond(200, R"({"ledgerRev":30})");
     EXPECT_EQ(shares.find(0)->epoch, 6U);
     engine.run_for(1100 * kMillisecond);
-    EXPECT_FALSE(is_usable());  // not before the row is read
+    EXPECT_FALSE(is_usable());  // not before the machine's row has been read
   }
   void respond_with_row(int share, std::uint64_t revision) {
     const wire::Json row{{"path", "s/machine/i-1"}, {"value", machine_json(share)}, {"stamp", revision}};
@@ -102,10 +105,10 @@
   app::ResultWriter writer{platform, {loop, store, records, shares, [] {}}};
 };
 
-// The commit of a move is executed and its answer lost; then the owner's epoch is raised, ahead of the watch.
-// What happened: the machine counted as surely not moved and was used again, though its row names another
-// share: its tasks were then freed, while they ran, when the watch told of the move. Why: that a new key
-// refuses further tries says nothing of those made before it.
+// The commit of a move is executed and its response lost; then the owner's epoch is raised, before the watch
+// delivers the move. The machine was taken for not moved and used again, although its row named another
+// share. When the watch delivered the move, its tasks were freed while they ran. The raised epoch rejects
+// only commits that arrive after it; earlier ones may have been executed.
 TEST_F(ResultWriterTest, AMoveCommittedBeforeTheEpochWasRaisedIsNotTakenForRejected) {
   start_move_and_raise_epoch();
   respond_with_row(1, 10);
@@ -116,7 +119,7 @@
   start_move_and_raise_epoch();
   http.take("/kv/s/machine/i-1").respond(503, "");
   engine.run_for(kSecond);
-  EXPECT_FALSE(is_usable());  // the row was not read
+  EXPECT_FALSE(is_usable());  // the read of the row failed
   respond_with_row(0, 3);
   EXPECT_TRUE(is_usable());
 }
--- a/tests/rnn_test.cpp
+++ b/tests/rnn_test.cpp
@@ -1,4 +1,5 @@
-// The learner against numbers worked by hand from DESIGN and section 5 of the paper.
+// The random neural network, against values calculated by hand from DESIGN and section 5 of the paper, and
+// against a direct implementation of the equations.
 #include "place/rnn.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 namespace aspenwick::place {
 namespace {
 
-/// Machines by name.
+/// An Rnn whose neurons are addressed by machine name.
 struct NamedRnn {
   Rnn rnn;
   std::map<std::string, Rnn::Neuron> neuron_of;
@@ -51,11 +52,11 @@
 
 TEST(Rnn, RewardExcitesTheMachineAndInhibitsTheOthers) {
   NamedRnn r = three_machines();
-  // G = 0.5: reward 2, T = 0.8*1 + 0.2*2 = 1.2 <= 2. Into a: +2 excitatory; into the other: +2/(3-2)
-  // inhibitory.
+  // G = 0.5: reward 2, T = 0.8*1 + 0.2*2 = 1.2 <= 2. Weights into a: +2 excitatory; into the other machine:
+  // +2/(3-2) inhibitory.
   r.learn("a", 0.5);
   EXPECT_NEAR(r.threshold(), 1.2, 1e-12);
-  // Row b: w+ = (a 0.25+2, c 0.25), w- = (a 0.25, c 0.25+2): sum 5, back to 1.
+  // Row b: w+ = (a 0.25+2, c 0.25), w- = (a 0.25, c 0.25+2): sum 5, normalized to 1.
   EXPECT_NEAR(r.excitatory("b", "a"), 2.25 / 5, 1e-12);
   EXPECT_NEAR(r.excitatory("b", "c"), 0.25 / 5, 1e-12);
   EXPECT_NEAR(r.inhibitory("b", "a"), 0.25 / 5, 1e-12);
@@ -99,7 +100,7 @@
   const std::vector<std::string> all{"a", "b", "c"};
   std::vector<std::string> picked;
   for (int i = 0; i < 30; ++i) picked.push_back(r.choose(all));
-  // One in ten in turn: a, then b, then c; all the rest to b.
+  // One choice in ten is made in turn: a, then b, then c. All others are b.
   EXPECT_EQ(std::count(picked.begin(), picked.end(), "b"), 28);
   EXPECT_EQ(picked[9], "a");
   EXPECT_EQ(picked[29], "c");
@@ -122,7 +123,7 @@
   r.learn("c", 3);
   const double a = r.q("a"), c = r.q("c");
   r.add_machine("d");
-  EXPECT_DOUBLE_EQ(r.q("d"), 0.5);  // a newcomer starts as all did
+  EXPECT_DOUBLE_EQ(r.q("d"), 0.5);  // the initial value of every neuron
   EXPECT_DOUBLE_EQ(r.q("a"), a);
   EXPECT_DOUBLE_EQ(r.q("c"), c);
   EXPECT_GT(a, c);
@@ -141,7 +142,7 @@
   EXPECT_DOUBLE_EQ(r.threshold(), 1);
 }
 
-/// The equations as DESIGN writes them: weights by row, q swept at every choice.
+/// The equations as DESIGN gives them: one weight for each pair of machines, and q solved before each choice.
 struct ReferenceRnn {
   std::vector<std::string> names;
   std::vector<std::vector<double>> w_plus, w_minus;
@@ -207,8 +208,8 @@
   }
 };
 
-/// The same history for both; every q that is asked for must agree within `tolerance`, and with it the
-/// choice.
+/// Runs the same random history on both implementations. Every q must agree within `tolerance`, and the
+/// chosen machine must have the highest q up to that. `bulk_changes`: many machines join or leave at once.
 void expect_same_as_reference(std::size_t machine_count, int steps, double goal_median, double tolerance,
                               bool bulk_changes, double max_merge_error = 1e-7) {
   RnnSettings settings;
@@ -256,9 +257,9 @@
 }
 
 TEST(Rnn, ClassesAgreeWithTheReference) {
-  // One weight for all machines that the equations can't tell apart makes a lesson's cost independent of how
-  // many machines there are. Machines join, leave and finish tasks; q and the choice must be the plain
-  // form's.
+  // Machines that the equations can't tell apart share their weights, so that the cost of learning doesn't
+  // depend on the number of machines. While machines join, leave and finish tasks, q and the choice must be
+  // those of the reference.
   expect_same_as_reference(8, 600, 1, 1e-7, false);
   expect_same_as_reference(60, 200, 1, 1e-7, false);
   expect_same_as_reference(200, 60, 1, 1e-7, false);
@@ -266,8 +267,9 @@
 }
 
 TEST(Rnn, MergingClassesStaysWithinTheErrorBound) {
-  // Run times in seconds instead of their ratio: rewards are so small that hundreds of lessons count at once,
-  // more than there may be classes. What is given up must stay far below what tells machines apart.
+  // With goals in seconds instead of ratios, rewards are so small that hundreds of them still have an effect,
+  // more than there may be classes. The error of merging classes must stay far below the differences between
+  // machines.
   expect_same_as_reference(150, 250, 30, 2e-3, false, 0.02);
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// Settings of the platform and of the operator: defaults, limits and error messages.
 #include "wire/settings.h"
 
 #include <gtest/gtest.h>
@@ -41,7 +42,7 @@
   auto j = testing::settings_json();
   auto& state = j["params"]["state"];
   for (const auto& next : {wire::Json(), wire::Json::object()}) {
-    state["next"] = next;  // absent in part or whole: the present limits stand
+    state["next"] = next;  // absent or empty: the current limits apply
     EXPECT_EQ(wire::parse_settings(j.dump()).txn_ops, 20U);
     EXPECT_EQ(wire::parse_settings(j.dump()).value_bytes, 16U * 1024);
   }
@@ -49,12 +50,12 @@
   const auto s = wire::parse_settings(j.dump());
   EXPECT_EQ(s.value_bytes, 2U * 1024);
   EXPECT_EQ(s.txn_ops, 6U);
-  EXPECT_DOUBLE_EQ(s.state_write_rps, 25);  // the smaller of the two
+  EXPECT_DOUBLE_EQ(s.state_write_rps, 25);  // the lower one: 25 now, 30 upcoming
   EXPECT_DOUBLE_EQ(s.state_rps, 80);
 }
 
-// An owner that nobody reaches goes on for its store lease, its workers for one lease more: settings under
-// which they would outlive a cancellation end the start with the field's name.
+// An unreachable owner continues until its lease in the state service expires, and its workers for one worker
+// lease more. If the settings allow less time for a cancellation, startup fails with the name of the field.
 TEST(PlatformSettings, CancelDeadlineMustExceedTheLeases) {
   auto j = testing::settings_json();  // leases of 12 s and 5 s
   auto longest_run_after_cancel = [&](double cancel_s) {
--- a/tests/split_pass_test.cpp
+++ b/tests/split_pass_test.cpp
@@ -1,4 +1,5 @@
-// A pass that would be long is split: leases and reports come in between, and in the end all is placed.
+// A long placement pass is split, so that leases and reports are handled in between; in the end all tasks are
+// placed.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -17,7 +18,7 @@
   Micros now = 1000 * kSecond;
   ShareController controller(
       platform, types, {}, [&](const std::string& id) { return &jobs.at(id); }, 1, now, now);
-  constexpr int kMachines = 800, kTasks = 2500;  // room for 3,200 tasks
+  constexpr int kMachines = 800, kTasks = 2500;  // capacity for 3,200 tasks
   for (int i = 0; i < kMachines; ++i) {
     MachineRecord m;
     m.id = "i-" + std::to_string(100000 + i), m.address = "127.0.0.1:9", m.type = "cpu8", m.zone = "z1";
@@ -36,7 +37,7 @@
     r.token = std::uint64_t{1} << place::kEpochShift;
     return launched;
   };
-  report_all(), report_all();  // the second under our token
+  report_all(), report_all();  // the second with this controller's token
   auto j = testing::job_json();
   j["pieces"] = kTasks;
   JobRecord record;
@@ -54,7 +55,7 @@
     now += 15 * kMillisecond;
   }
   EXPECT_GT(passes, 2);
-  EXPECT_EQ(tasks_per_step.size(), 1U);  // all as long, but for the last
+  EXPECT_EQ(tasks_per_step.size(), 1U);  // all steps but the last place the same number
   EXPECT_LT(*tasks_per_step.begin(), kTasks / 2);
   EXPECT_EQ(controller.waiting_tasks(), 0U);
   EXPECT_EQ(report_all(), static_cast<std::size_t>(kTasks));
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -1,4 +1,5 @@
-// What the client of the state service makes of answers that come late, twice, or older than their questions.
+// How the client of the state service handles responses that are late, repeated, or older than their
+// requests.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -11,7 +12,7 @@
 namespace aspenwick::store {
 namespace {
 
-/// Keeps requests until the test answers them.
+/// Keeps requests until the test responds to them.
 struct ManualRequester : net::Requester {
   struct Request {
     std::string path;
@@ -40,6 +41,7 @@
     watch = http.take();
     engine.run_for(3 * kSecond);
   }
+  /// The body of a response with changes of one key, at these revisions.
   static std::string changes(std::uint64_t revision, const std::vector<std::uint64_t>& row_revisions) {
     wire::Json news = wire::Json::array();
     for (const auto row_revision : row_revisions)
@@ -67,7 +69,7 @@
   EXPECT_EQ(client.watched(), 12U);
   EXPECT_EQ(client.watched_as_of(), requested_at);
   EXPECT_EQ(catch_up_callbacks, 1);
-  watch.respond(200, changes(11, {11}));  // opened earlier, it comes later
+  watch.respond(200, changes(11, {11}));  // sent before the other request, answered after it
   EXPECT_EQ(delivered, (std::vector<std::uint64_t>{11, 12}));
   EXPECT_EQ(client.watched(), 12U);
   EXPECT_EQ(client.watched_as_of(), requested_at);
@@ -104,7 +106,7 @@
 TEST_F(StoreClientTest, AResponseCountsAsOfWhenItWasRequested) {
   const Micros requested_at = engine.now;
   auto late_request = catch_up();
-  engine.run_for(57 * kSecond);  // the process stood still
+  engine.run_for(57 * kSecond);  // the process was suspended
   late_request.respond(200, changes(10, {}));
   EXPECT_EQ(client.watched_as_of(), requested_at);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// Messages of users, workers, the cloud and the state service: parsing, and writing in protocol form.
 #include "wire/wire.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +44,7 @@
       EXPECT_EQ(e.job, "j-000412") << bad.dump();
     }
   }
-  // As long as the body allows.
+  // Limited only by the size of the body.
   j["waitsOn"] = Json::array();
   for (int i = 0; i < 5000; ++i) j["waitsOn"].push_back("j-" + std::to_string(10'000 + i));
   EXPECT_EQ(parse_job(j.dump()).needs.size(), 5000U);
@@ -79,7 +80,7 @@
     EXPECT_TRUE(refused("nameId", id)) << id;
   for (const char* body : {"", "{", "[]", "null", "1", "{\"nameId\":", "\xff\xfe"})
     EXPECT_THROW(parse_job(body), Malformed);
-  // A number too large for a double must not become infinity.
+  // A number too large for a double is rejected rather than read as infinity.
   std::string huge = testing::job_json().dump();
   huge.replace(huge.find("\"vcpus\":2.0"), 11, "\"vcpus\":1e999");
   EXPECT_THROW(parse_job(huge), Malformed);
@@ -107,7 +108,7 @@
                                        R"({"piece":"j-2/1","try":1,"verb":"halt","windDownS":10.0}]})");
 }
 
-// Whatever comes from outside, a parser returns or throws; it never crashes.
+// On any input, a parser returns or throws an exception; it never crashes.
 TEST(Parsers, OnlyThrowOnDamagedInput) {
   const std::string valid[] = {
       testing::job_json().dump(),
