--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -53,8 +53,8 @@
   const auto notice = std::get<CancelNotice>(decode(notice_bytes));
   EXPECT_EQ(encode(notice), notice_bytes);
   EXPECT_EQ(notice.jobs[1].revision, 18U);
-  for (const auto& good : {heartbeat_bytes, notice_bytes})
-    for (std::size_t n = 0; n < good.size(); ++n) EXPECT_THROW(decode(good.substr(0, n)), BadFrame);
+  for (const auto& valid : {heartbeat_bytes, notice_bytes})
+    for (std::size_t n = 0; n < valid.size(); ++n) EXPECT_THROW(decode(valid.substr(0, n)), BadFrame);
   EXPECT_THROW(decode(encode(CancelNotice{"rig-1", 8, 6, 5, {}})), BadFrame);
   EXPECT_THROW(decode(encode(CancelNotice{"rig-1", 0, 3, 5, {}})), BadFrame);
 }
@@ -73,17 +73,17 @@
   EXPECT_EQ(std::get<Gossip>(decode(bytes)).shares[4].machines.size(), 200U);
 }
 
-TEST(Frame, EncodingIsIndependentOfTheMachine) {
+TEST(Frame, EncodingIsBigEndianOnEveryMachine) {
   // Big-endian on every machine: magic, version, type, length, then the fields.
   EXPECT_EQ(encode(StatusRequest{0x01020304, "j-1"}),
             std::string("\xA5\xE7\x02\x03\0\0\0\x08\x01\x02\x03\x04\x03j-1", 16));
 }
 
 TEST(Frame, RejectsTruncatedOverlongAndForeignFrames) {
-  const std::string good = encode(full_gossip());
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_THROW(decode(good.substr(0, n)), BadFrame);
-  EXPECT_THROW(decode(good + "x"), BadFrame);
-  std::string bad_version = good, bad_magic = good, bad_length = good, bad_type = good;
+  const std::string valid = encode(full_gossip());
+  for (std::size_t n = 0; n < valid.size(); ++n) EXPECT_THROW(decode(valid.substr(0, n)), BadFrame);
+  EXPECT_THROW(decode(valid + "x"), BadFrame);
+  std::string bad_version = valid, bad_magic = valid, bad_length = valid, bad_type = valid;
   bad_version[2] = 9, bad_magic[0] = 0, bad_length[4] = 0x7f, bad_type[3] = 99;
   EXPECT_THROW(decode(bad_version), BadFrame);
   EXPECT_THROW(decode(bad_magic), BadFrame);
@@ -115,18 +115,18 @@
 
 TEST(Frame, CorruptedFramesOnlyThrowBadFrame) {
   std::mt19937 random(11);
-  const std::string good = encode(full_gossip());
-  int refused = 0;
+  const std::string valid = encode(full_gossip());
+  int rejected = 0;
   for (int i = 0; i < 5000; ++i) {
-    std::string s = good;
+    std::string s = valid;
     for (int k = 0; k < 3; ++k) s[random() % s.size()] = static_cast<char>(random());
     try {
       decode(s);
     } catch (const BadFrame&) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(refused, 100);
+  EXPECT_GT(rejected, 100);
 }
 
 }  // namespace
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(c.machines(), 14U);
 }
 
-TEST(SocketBudgetTest, ThePartsFitTheTotal) {
+TEST(SocketBudgetTest, PartsAddUpToAtMostTheTotal) {
   auto p = wire::parse_settings(testing::settings_json().dump());
   for (const int sockets : {150, 500, 1200, 1854, 4302, 100'000}) {
     p.sockets = sockets;
--- a/tests/job_api_test.cpp
+++ b/tests/job_api_test.cpp
@@ -105,8 +105,8 @@
     EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", j).status, 422) << j.dump();
     EXPECT_FALSE(was_written(w, id));
   }
-  auto spread =
-      submission_json("j-600000", 2);  // at most one task in each zone, but only one zone is allowed
+  // At most one task in each zone, but only one zone is allowed.
+  auto spread = submission_json("j-600000", 2);
   spread["shape"] = "group", spread["spread"] = true, spread["site"] = "z1";
   EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
   spread["site"] = nullptr, spread["together"] = true;
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -82,9 +82,8 @@
     if (c.path == "/rentals") rental_requests.push_back(std::move(c));
   ASSERT_FALSE(rental_requests.empty());
   leader.step_down();
-  rental_requests[0].respond(
-      200,
-      R"({"rigs":["i-000001"]})");  // too late: the next leader finds the machine in the list
+  // Too late: the next leader finds the machine in the list.
+  rental_requests[0].respond(200, R"({"rigs":["i-000001"]})");
   for (int i = 0; i < 6; ++i) run_pass(2);
   std::set<std::string> bodies;
   for (const auto& c : rental_requests) bodies.insert(c.body);
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -167,8 +167,8 @@
 }
 
 TEST_F(ProvisionerTest, RentsInBulkWithinTheZoneLimit) {
-  // 96 service tasks at a cold start, reported as one demand: twelve machines are rented in two requests, each
-  // in a zone of its own for half of the tasks.
+  // 96 service tasks at a cold start, reported as one demand: twelve machines are rented in two requests,
+  // each in a zone of its own for half of the tasks.
   share::Demand d = demand(1, 96, false, wire::Rank::production);
   d.shape = wire::Shape::service, d.max_per_zone = 48;
   const auto rents = actions_of_type<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_));
@@ -197,16 +197,16 @@
 TEST_F(ProvisionerTest, DoesNotRentForLaterDeadlinesThatRunningMachinesMeet) {
   // Four jobs of 40 tasks with staggered deadlines: 16 slots finish all in time if the earliest deadline goes
   // first. Planned one by one, the jobs would need twice as many slots, on expensive machines.
-  ShareReport reports{0, true, {}, {}};
+  ShareReport report{0, true, {}, {}};
   for (std::uint32_t n = 1; n <= 4; ++n) {
     share::Demand d = demand(1, 40, true, wire::Rank::low);
     d.slack_ms = n * 150'000;
-    reports.demands.push_back(d);
+    report.demands.push_back(d);
   }
-  reports.demands[0].running = 16;
+  report.demands[0].running = 16;
   for (const auto& z : types_[0].zones)
     for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
-  EXPECT_TRUE(actions_of_type<RentMachines>(provisioner_.tick(now_, {reports}, records_)).empty());
+  EXPECT_TRUE(actions_of_type<RentMachines>(provisioner_.tick(now_, {report}, records_)).empty());
 }
 
 TEST_F(ProvisionerTest, DrainsALowerRankMachineForUrgentProductionDespiteABootingOne) {
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -61,8 +61,7 @@
   other = spec;
   other.team = "tight";  // 8 CPUs at most
   other.tasks = 100;
-  EXPECT_EQ(unschedulable_reason(other, types, settings.teams),
-            "");  // in an array, one task has to fit
+  EXPECT_EQ(unschedulable_reason(other, types, settings.teams), "");  // array: only one task must fit
   other.shape = wire::Shape::gang;
   EXPECT_NE(unschedulable_reason(other, types, settings.teams), "");
 }
--- a/tests/report_test.cpp
+++ b/tests/report_test.cpp
@@ -12,10 +12,10 @@
 namespace aspenwick::wire {
 namespace {
 
-constexpr std::array kStates{"fetching", "waiting", "running", "flushing", "ended"};
-constexpr std::array kCauses{"",      "done",    "stopped", "mates_gone", "incomplete",
-                             "error", "no_room", "in_use",  "no_such"};
-constexpr std::size_t kMaxName = 200;
+constexpr std::array kTaskStates{"fetching", "waiting", "running", "flushing", "ended"};
+constexpr std::array kExitCauses{"",      "done",    "stopped", "mates_gone", "incomplete",
+                                 "error", "no_room", "in_use",  "no_such"};
+constexpr std::size_t kMaxNameLength = 200;
 
 const Json& field(const Json& j, const char* name) {
   auto it = j.find(name);
@@ -27,7 +27,7 @@
   const Json& v = field(j, name);
   if (!v.is_string()) throw Malformed(std::string("not a string: ") + name);
   auto s = v.get<std::string>();
-  if ((s.empty() && !may_be_empty) || s.size() > kMaxName)
+  if ((s.empty() && !may_be_empty) || s.size() > kMaxNameLength)
     throw Malformed(std::string("invalid length: ") + name);
   return s;
 }
@@ -98,8 +98,8 @@
       TaskReport t;
       std::tie(t.job, t.index) = parse_task(string_field(p, "piece"));
       t.attempt = count_field(p, "try");
-      t.state = enum_field<TaskState>(p, "status", kStates);
-      if (optional_field(p, "cause")) t.cause = enum_field<Cause>(p, "cause", kCauses);
+      t.state = enum_field<TaskState>(p, "status", kTaskStates);
+      if (optional_field(p, "cause")) t.cause = enum_field<Cause>(p, "cause", kExitCauses);
       if (const Json* saved = optional_field(p, "stored"))
         t.saved = saved->is_boolean() && saved->get<bool>();
       r.tasks.push_back(std::move(t));
@@ -172,9 +172,9 @@
 }
 
 TEST(Report, MissingFieldsAndTruncationAreHandledLikeTheReference) {
-  const auto whole = Json::parse(kReport);
-  for (auto it = whole.begin(); it != whole.end(); ++it) {
-    auto without_field = whole;
+  const auto complete = Json::parse(kReport);
+  for (auto it = complete.begin(); it != complete.end(); ++it) {
+    auto without_field = complete;
     without_field.erase(it.key());
     EXPECT_EQ(parse_to_text(parse_report, without_field.dump()),
               parse_to_text(reference_parse_report, without_field.dump()))
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -57,7 +57,7 @@
 // An unreachable owner continues until its lease in the state service expires, and its workers for one worker
 // lease more. If the settings allow less time for a cancellation, startup fails with the name of the field.
 TEST(PlatformSettings, CancelDeadlineMustExceedTheLeases) {
-  auto j = testing::settings_json();  // leases of 12 s and 5 s
+  auto j = testing::settings_json();  // worker lease 12 s; the owner lease is 5 s
   auto longest_run_after_cancel = [&](double cancel_s) {
     j["params"]["workers"]["cancel_s"] = cancel_s;
     const auto s = wire::parse_settings(j.dump());
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -24,9 +24,9 @@
     pending.push_back({path, std::move(done)});
   }
   Request take() {
-    Request call = std::move(pending.front());
+    Request taken = std::move(pending.front());
     pending.pop_front();
-    return call;
+    return taken;
   }
 };
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -51,7 +51,7 @@
 }
 
 TEST(Job, InvalidFieldsAreRejectedByName) {
-  const auto refused = [](const char* name, Json value) {
+  const auto rejected_naming = [](const char* name, Json value) {
     Json j = testing::job_json();
     if (value.is_discarded())
       j.erase(name);
@@ -67,17 +67,17 @@
   for (const char* name :
        {"nameId", "jobclass", "owner", "shape", "rank", "pieces", "vcpus", "cards", "ramGb", "bundle",
         "sizeGb", "together", "spread", "loaner", "guessS", "snapshotEveryS", "snapshotS"}) {
-    EXPECT_TRUE(refused(name, Json(Json::value_t::discarded))) << "missing " << name;
-    EXPECT_TRUE(refused(name, Json::array())) << "wrong type " << name;
+    EXPECT_TRUE(rejected_naming(name, Json(Json::value_t::discarded))) << "missing " << name;
+    EXPECT_TRUE(rejected_naming(name, Json::array())) << "wrong type " << name;
   }
   for (const char* name : {"vcpus", "cards", "ramGb", "sizeGb", "guessS"}) {
-    EXPECT_TRUE(refused(name, -1));
-    EXPECT_TRUE(refused(name, "1"));
+    EXPECT_TRUE(rejected_naming(name, -1));
+    EXPECT_TRUE(rejected_naming(name, "1"));
   }
   for (const Json& pieces : {Json(0), Json(-1), Json(100'001), Json(1.5), Json(1e30)})
-    EXPECT_TRUE(refused("pieces", pieces));
+    EXPECT_TRUE(rejected_naming("pieces", pieces));
   for (const char* id : {"", "j-", "x-12", "j-12a", "j-1/2", "j-../../x"})
-    EXPECT_TRUE(refused("nameId", id)) << id;
+    EXPECT_TRUE(rejected_naming("nameId", id)) << id;
   for (const char* body : {"", "{", "[]", "null", "1", "{\"nameId\":", "\xff\xfe"})
     EXPECT_THROW(parse_job(body), Malformed);
   // A number too large for a double is rejected rather than read as infinity.
@@ -117,7 +117,7 @@
       R"({"ledgerRev":433,"news":[{"set":"c/9","value":1,"stamp":433},{"delete":"c/d","stamp":432}]})",
       R"({"rigs":[{"nameId":"i-1","endpoint":"1.2.3.4:5","rigtype":"t","site":"a","loaner":true,"status":"booting","ageS":1.5}],"hasNext":false})"};
   std::mt19937 random(7);
-  int parsed = 0, refused = 0;
+  int parsed = 0, rejected = 0;
   for (int round = 0; round < 4000; ++round) {
     std::string s = valid[random() % std::size(valid)];
     for (int k = static_cast<int>(random() % 4); k > 0 && !s.empty(); --k) {
@@ -157,11 +157,11 @@
         }
         ++parsed;
       } catch (const std::exception&) {
-        ++refused;
+        ++rejected;
       }
   }
   EXPECT_GT(parsed, 500);
-  EXPECT_GT(refused, 10000);
+  EXPECT_GT(rejected, 10000);
 }
 
 }  // namespace
