--- a/tests/cancellation_delivery_test.cpp
+++ b/tests/cancellation_delivery_test.cpp
@@ -22,7 +22,7 @@
     EXPECT_EQ(world.starts.size(), 8U);
   }
   void submit(const std::string& id) {
-    auto submission = job(id, 8);
+    auto submission = submission_json(id, 8);
     submission["owner"] = "cards";
     EXPECT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
   }
@@ -142,13 +142,13 @@
     local_world.run_time = 3600 * kSecond;
     local_world.push_lost = 0;
     local_world.engine.run_for(20 * kSecond);
-    auto submission = job("j-1", 8);
+    auto submission = submission_json("j-1", 8);
     submission["owner"] = "cards";
     EXPECT_EQ(local_world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
     local_world.engine.run_for(20 * kSecond);
     for (const auto& machine : local_world.machines()) local_world.only_reaches[machine] = "a";
     local_world.run_time = 3 * kSecond;  // leaves machines that the new owner can use at once
-    EXPECT_EQ(local_world.ask("b", Method::post, "/v1/jobs", job("j-2", 8)).status, 201);
+    EXPECT_EQ(local_world.ask("b", Method::post, "/v1/jobs", submission_json("j-2", 8)).status, 201);
     local_world.engine.run_for(15 * kSecond);
     local_world.run_time = 3600 * kSecond;
     local_world.state_refuses = {"a"};
--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -13,7 +13,7 @@
 struct DuplicateExecutionTest : NodeTest {
   /// Submits a job of a team of share 0; node a is the leader and owns that share.
   void submit_to_share_0(const std::string& id, int tasks) {
-    auto submission = job(id, tasks);
+    auto submission = submission_json(id, tasks);
     submission["owner"] = "cards";
     ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
   }
@@ -34,7 +34,7 @@
     local_world.run_time = kLongTaskDuration;
     local_world.push_lost = 0;
     local_world.engine.run_for(20 * kSecond);
-    auto submission = job("j-1", 8);
+    auto submission = submission_json("j-1", 8);
     submission["owner"] = "cards";
     ASSERT_EQ(local_world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
     local_world.engine.run_for(20 * kSecond);
@@ -73,7 +73,7 @@
   ASSERT_EQ(machines_running_job.size(), 1U);
   world.report_takes = 400 * kMillisecond;
   for (int i = 0; i < 30; ++i) {  // occasional pushes while reports are in flight
-    auto submission = job("j-" + std::to_string(100 + i), 1);
+    auto submission = submission_json("j-" + std::to_string(100 + i), 1);
     submission["owner"] = "cards";
     submission["vcpus"] = 0.1, submission["ramGb"] = 0.1;
     ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
@@ -95,7 +95,7 @@
     local_world.engine.run_for(20 * kSecond);
     ASSERT_EQ(local_world.store.keys.at("s/leader").value.at("node"), "a");
     auto submit = [&local_world](const std::string& id) {
-      auto submission = job(id, 24);
+      auto submission = submission_json(id, 24);
       submission["owner"] = "cards";
       ASSERT_EQ(local_world.ask("a", Method::post, "/v1/jobs", submission).status, 201);
     };
@@ -174,7 +174,7 @@
   report.machine = "i-1", report.tasks = {task};
   controller.on_report(report, kNow, place::StartRefusal::none);
   record_known = true;
-  record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(job("j-1", 1)));
+  record.spec = std::make_shared<wire::JobSpec>(wire::job_from_json(submission_json("j-1", 1)));
   controller.on_job_record("j-1", record, false, kNow, kNow);
   controller.tick(kNow, place::StartRefusal::none);
   for (const auto& attempt_line : controller.describe_attempts())
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// Settings of the platform and of the operator: defaults, limits and error messages.
 #include "wire/settings.h"
 
 #include <gtest/gtest.h>
@@ -9,15 +10,15 @@
 namespace aspenwick {
 namespace {
 
-TEST(PlatformSettings, AreReadAndUnknownFieldsIgnored) {
+TEST(PlatformSettings, AreParsedAndUnknownFieldsIgnored) {
   const auto s = wire::parse_settings(testing::settings_json().dump());
   EXPECT_EQ(s.node_names(), (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(s.worker_lease, 12 * kSecond);
   EXPECT_EQ(s.max_value_bytes, 16384U);
 }
 
-TEST(PlatformSettings, AMissingOrWrongFieldIsNamed) {
-  const auto complaint = [](const char* pointer, const wire::Json& value) {
+TEST(PlatformSettings, ErrorsNameTheMissingOrInvalidField) {
+  const auto error_of = [](const char* pointer, const wire::Json& value) {
     auto j = testing::settings_json();
     const wire::Json::json_pointer p(pointer);
     if (value.is_null())
@@ -31,17 +32,17 @@
     }
     return std::string();
   };
-  EXPECT_EQ(complaint("/params/workers/lease_s", nullptr), "settings: missing field: params.workers.lease_s");
-  EXPECT_EQ(complaint("/listen", "nonsense"), "settings: not an address: listen");
-  EXPECT_EQ(complaint("/params/state/rps", -1), "settings: out of range: params.state.rps");
-  EXPECT_EQ(complaint("/siblings", 3), "settings: not a list: siblings");
+  EXPECT_EQ(error_of("/params/workers/lease_s", nullptr), "settings: missing field: params.workers.lease_s");
+  EXPECT_EQ(error_of("/listen", "nonsense"), "settings: not an address: listen");
+  EXPECT_EQ(error_of("/params/state/rps", -1), "settings: out of range: params.state.rps");
+  EXPECT_EQ(error_of("/siblings", 3), "settings: not a list: siblings");
 }
 
-TEST(PlatformSettings, LimitsToComeAreKeptToFromTheStart) {
+TEST(PlatformSettings, UpcomingLimitsApplyFromTheStart) {
   auto j = testing::settings_json();
   auto& state = j["params"]["state"];
   for (const auto& next : {wire::Json(), wire::Json::object()}) {
-    state["next"] = next;  // absent in part or whole: the present limits stand
+    state["next"] = next;  // absent or empty: the current limits apply
     EXPECT_EQ(wire::parse_settings(j.dump()).max_txn_ops, 20U);
     EXPECT_EQ(wire::parse_settings(j.dump()).max_value_bytes, 16U * 1024);
   }
@@ -49,32 +50,32 @@
   const auto s = wire::parse_settings(j.dump());
   EXPECT_EQ(s.max_value_bytes, 2U * 1024);
   EXPECT_EQ(s.max_txn_ops, 6U);
-  EXPECT_DOUBLE_EQ(s.state_write_rps, 25);  // the smaller of the two
+  EXPECT_DOUBLE_EQ(s.state_write_rps, 25);  // the lower one: 25 now, 30 upcoming
   EXPECT_DOUBLE_EQ(s.state_rps, 80);
 }
 
-// An owner that nobody reaches goes on for its store lease, its workers for one lease more: settings under
-// which they would outlive a cancellation end the start with the field's name.
-TEST(PlatformSettings, LeaveTimeToCancel) {
-  auto j = testing::settings_json();  // leases of 12 s and 5 s
-  auto check = [&](double cancel_s) {
+// An unreachable owner continues until its lease in the state service expires, and its workers for one worker
+// lease more. If the settings allow less time for a cancellation, startup fails with the name of the field.
+TEST(PlatformSettings, CancelDeadlineMustExceedTheLeases) {
+  auto j = testing::settings_json();  // worker lease 12 s; the owner lease is 5 s
+  auto longest_run_after_cancel = [&](double cancel_s) {
     j["params"]["workers"]["cancel_s"] = cancel_s;
     const auto s = wire::parse_settings(j.dump());
     share::check_cancel_deadline(s);
-    const share::Ownership own(s);
-    return share::kOwnerLeaseDuration + own.max_unconfirmed_renewal() + s.worker_lease;
+    const share::Ownership ownership(s);
+    return share::kOwnerLeaseDuration + ownership.max_unconfirmed_renewal() + s.worker_lease;
   };
   for (const double cancel_s : {20.0, 21.5, 28.0, 37.0, 300.0})
-    EXPECT_LT(check(cancel_s), from_seconds(cancel_s));
+    EXPECT_LT(longest_run_after_cancel(cancel_s), from_seconds(cancel_s));
   try {
-    check(19.9);
+    longest_run_after_cancel(19.9);
     FAIL();
   } catch (const wire::Malformed& e) {
     EXPECT_NE(std::string(e.what()).find("params.workers.cancel_s"), std::string::npos) << e.what();
   }
 }
 
-TEST(OperatorSettings, DefaultsStandAndKeysAreChecked) {
+TEST(OperatorSettings, UnsetKeysKeepDefaultsAndInvalidOnesAreRejected) {
   EXPECT_DOUBLE_EQ(app::parse_operator_settings("").rnn.past_weight, 0.8);
   const auto s =
       app::parse_operator_settings("learner: {memory: 0.5, goal: seconds}\nrenting: {idle_after_s: 3}");
--- a/tests/share_controller_fixture.h
+++ b/tests/share_controller_fixture.h
@@ -31,7 +31,7 @@
   /// Adds a job record that lookups find, without passing it to the controller.
   void add_record(const std::string& id, int tasks, const std::string& shape = "array",
                   const std::string& team = "red") {
-    auto submission = job(id, tasks);
+    auto submission = submission_json(id, tasks);
     submission["shape"] = shape;
     submission["owner"] = team;
     records[id].spec = std::make_shared<wire::JobSpec>(wire::job_from_json(submission));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// Messages of users, workers, the cloud and the state service: parsing, and writing in protocol form.
 #include "wire/wire.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace aspenwick::wire {
 namespace {
 
-TEST(Job, GoesThroughTheRecordUnchanged) {
+TEST(Job, JsonRoundTripKeepsAllFields) {
   Json j = testing::job_json();
   j["rigtypes"] = {"cpu8"};
   j["site"] = "z1";
@@ -23,12 +24,12 @@
   EXPECT_EQ(job_to_json(t), job_to_json(s));
 }
 
-TEST(Job, WhatItWaitsForIsAListOfJobIds) {
+TEST(Job, DependenciesAreAListOfJobIds) {
   Json j = testing::job_json();
-  const Json none = job_to_json(parse_job(j.dump()));
+  const Json without_dependencies = job_to_json(parse_job(j.dump()));
   for (const Json& empty : {Json(), Json::array()}) {
     j["waitsOn"] = empty;
-    EXPECT_EQ(job_to_json(parse_job(j.dump())), none);
+    EXPECT_EQ(job_to_json(parse_job(j.dump())), without_dependencies);
   }
   j["waitsOn"] = {"j-2", "j-1", "j-2"};
   EXPECT_EQ(parse_job(j.dump()).dependencies, (std::vector<std::string>{"j-2", "j-1"}));
@@ -44,14 +45,14 @@
       EXPECT_EQ(e.job, "j-000412") << bad.dump();
     }
   }
-  // As long as the body allows.
+  // Limited only by the size of the body.
   j["waitsOn"] = Json::array();
   for (int i = 0; i < 5000; ++i) j["waitsOn"].push_back("j-" + std::to_string(10'000 + i));
   EXPECT_EQ(parse_job(j.dump()).dependencies.size(), 5000U);
 }
 
-TEST(Job, BadInputIsRefusedWithAReason) {
-  const auto refused = [](const char* name, Json value) {
+TEST(Job, InvalidFieldsAreRejectedByName) {
+  const auto rejected_naming = [](const char* name, Json value) {
     Json j = testing::job_json();
     if (value.is_discarded())
       j.erase(name);
@@ -67,27 +68,27 @@
   for (const char* name :
        {"nameId", "jobclass", "owner", "shape", "rank", "pieces", "vcpus", "cards", "ramGb", "bundle",
         "sizeGb", "together", "spread", "loaner", "guessS", "snapshotEveryS", "snapshotS"}) {
-    EXPECT_TRUE(refused(name, Json(Json::value_t::discarded))) << "missing " << name;
-    EXPECT_TRUE(refused(name, Json::array())) << "wrong type " << name;
+    EXPECT_TRUE(rejected_naming(name, Json(Json::value_t::discarded))) << "missing " << name;
+    EXPECT_TRUE(rejected_naming(name, Json::array())) << "wrong type " << name;
   }
   for (const char* name : {"vcpus", "cards", "ramGb", "sizeGb", "guessS"}) {
-    EXPECT_TRUE(refused(name, -1));
-    EXPECT_TRUE(refused(name, "1"));
+    EXPECT_TRUE(rejected_naming(name, -1));
+    EXPECT_TRUE(rejected_naming(name, "1"));
   }
   for (const Json& pieces : {Json(0), Json(-1), Json(100'001), Json(1.5), Json(1e30)})
-    EXPECT_TRUE(refused("pieces", pieces));
+    EXPECT_TRUE(rejected_naming("pieces", pieces));
   for (const char* id : {"", "j-", "x-12", "j-12a", "j-1/2", "j-../../x"})
-    EXPECT_TRUE(refused("nameId", id)) << id;
+    EXPECT_TRUE(rejected_naming("nameId", id)) << id;
   for (const char* body : {"", "{", "[]", "null", "1", "{\"nameId\":", "\xff\xfe"})
     EXPECT_THROW(parse_job(body), Malformed);
-  // A number too large for a double must not become infinity.
+  // A number too large for a double is rejected rather than read as infinity.
   std::string huge = testing::job_json().dump();
   huge.replace(huge.find("\"vcpus\":2.0"), 11, "\"vcpus\":1e999");
   EXPECT_THROW(parse_job(huge), Malformed);
   EXPECT_THROW(parse_job(std::string(kMaxJobBodyBytes + 1, ' ')), Malformed);
 }
 
-TEST(Report, IsRead) {
+TEST(Report, AllFieldsAreParsed) {
   const auto r =
       parse_report(R"({"rig":"i-000231","endpoint":"10.1.0.232:9000","rigtype":"g8","site":"a","loaner":true,
      "stint":1,"tally":88,"baton":41,"warningS":7.5,"new":[],
@@ -101,25 +102,25 @@
   EXPECT_EQ(*r.reclaim_notice, 7'500'000);
 }
 
-TEST(Orders, AreWrittenAsTheProtocolHasThem) {
+TEST(Orders, AreWrittenInProtocolForm) {
   const std::vector<Order> orders{{Order::Verb::launch, "j-1", 4, 2, 0},
                                   {Order::Verb::halt, "j-2", 1, 1, 10 * kSecond}};
   EXPECT_EQ(report_response(41, orders), R"({"baton":41,"orders":[{"piece":"j-1/4","try":2,"verb":"launch"},)"
                                          R"({"piece":"j-2/1","try":1,"verb":"halt","windDownS":10.0}]})");
 }
 
-// Whatever comes from outside, a parser returns or throws; it never crashes.
-TEST(Parsers, SurviveDamagedInput) {
-  const std::string good[] = {
+// On any input, a parser returns or throws an exception; it never crashes.
+TEST(Parsers, OnlyThrowOnDamagedInput) {
+  const std::string valid[] = {
       testing::job_json().dump(),
       R"({"rig":"i-1","endpoint":"1.2.3.4:5","rigtype":"t","site":"a","loaner":true,"stint":1,"tally":8,"baton":4,"pieces":[{"piece":"j-1/0","try":1,"status":"ended","cause":"done"}]})",
       R"({"rows":[{"path":"a","value":{"x":1},"stamp":3}],"hasNext":false,"ledgerRev":9})",
       R"({"ledgerRev":433,"news":[{"set":"c/9","value":1,"stamp":433},{"delete":"c/d","stamp":432}]})",
       R"({"rigs":[{"nameId":"i-1","endpoint":"1.2.3.4:5","rigtype":"t","site":"a","loaner":true,"status":"booting","ageS":1.5}],"hasNext":false})"};
   std::mt19937 random(7);
-  int parsed = 0, refused = 0;
+  int parsed = 0, rejected = 0;
   for (int round = 0; round < 4000; ++round) {
-    std::string s = good[random() % std::size(good)];
+    std::string s = valid[random() % std::size(valid)];
     for (int k = static_cast<int>(random() % 4); k > 0 && !s.empty(); --k) {
       const std::size_t at = random() % s.size();
       switch (random() % 4) {
@@ -137,8 +138,8 @@
           break;
       }
     }
-    for (int which = 0; which < 5; ++which) try {
-        switch (which) {
+    for (int parser = 0; parser < 5; ++parser) try {
+        switch (parser) {
           case 0:
             parse_job(s);
             break;
@@ -157,11 +158,11 @@
         }
         ++parsed;
       } catch (const std::exception&) {
-        ++refused;
+        ++rejected;
       }
   }
   EXPECT_GT(parsed, 500);
-  EXPECT_GT(refused, 10000);
+  EXPECT_GT(rejected, 10000);
 }
 
 }  // namespace
