--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kWorkerReportTimeout =
     4 * kSecond;  // how long a worker waits for the answer to a report, also during a pause of ours
 constexpr Micros kOwnershipInterval = 200 * kMillisecond;
-constexpr Micros kReplanInterval = 5 * kSecond;
+constexpr Micros kSchedulingGoalsInterval = 5 * kSecond;
 constexpr Micros kMetricsInterval = 10 * kSecond;
 
 /// Lists the reasons with a count above 0.
@@ -87,7 +87,7 @@
   loop_.every(kHeartbeatInterval, [this] { peer_service_.send_heartbeats(); });
   loop_.every(kLeaderInterval, [this] { run_leader(); });
   loop_.every(kOwnershipInterval, [this] { owned_shares_.tick(); });
-  loop_.every(kReplanInterval, [this] { replan_jobs(); });
+  loop_.every(kSchedulingGoalsInterval, [this] { update_scheduling_goals(); });
   loop_.every(kMetricsInterval, [this] { log_metrics(); });
 }
 
@@ -217,8 +217,8 @@
   spdlog::info("process paused for {:.1f} s", to_seconds(since_last - kLeaderInterval));
 }
 
-void Controller::replan_jobs() {
-  records_.replan();
+void Controller::update_scheduling_goals() {
+  records_.recompute_finish_times();
   records_.publish_graph_changes();
 }
 
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -55,7 +55,7 @@
   void tick();
   void run_leader();
   void detect_pause();
-  void replan_jobs();
+  void update_scheduling_goals();
   void log_metrics();
   void log_result_metrics(int share, const share::ShareController& controller) const;
 
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -15,7 +15,7 @@
 constexpr Micros kConfirmPollInterval = 10 * kMillisecond;
 constexpr int kMaxLookups = 32;  // of needed jobs that are not known here, for one submission
 constexpr std::size_t kMaxCachedTaskCounts = 4096;  // entries; all are dropped when the cache is full
-constexpr int kMaxCancelTries = 3;                  // attempts when the record is changed elsewhere meanwhile
+constexpr int kMaxCancelAttempts = 3;               // attempts when the record is changed elsewhere meanwhile
 constexpr std::size_t kMaxTransactionBytes = 40'000;  // of parts; a transaction may take 64 KiB in all
 }  // namespace
 
@@ -31,16 +31,16 @@
 
 void JobApi::cancel(const ExchangePtr& exchange, const std::string& id) {
   ++request_count_;
-  cancel(exchange, id, kMaxCancelTries);
+  cancel(exchange, id, kMaxCancelAttempts);
 }
 
-void JobApi::on_peer_status(const share::StatusReply& tell) {
-  auto it = pending_status_.find(tell.request);
+void JobApi::on_peer_status(const share::StatusReply& reply) {
+  auto it = pending_status_.find(reply.request);
   if (it == pending_status_.end()) return;
   const PendingStatus pending_status = std::move(it->second);
   pending_status_.erase(it);
   // While a share changes hands, its new owner may not know the job yet and has nothing to report of it.
-  if (tell.known) cache_task_counts(pending_status.job, {tell.done, tell.running});
+  if (reply.known) cache_task_counts(pending_status.job, {reply.done, reply.running});
   answer_with_status(pending_status.exchange, 200, pending_status.job);
 }
 
@@ -64,13 +64,13 @@
   const auto* known = deps_.records.job(id);
   // A job that needs a cancelled job is reported as cancelled as soon as that cancellation is known here; its
   // own record follows.
-  const bool doomed = deps_.records.graph().has_cancelled_dependency(id);
-  if (!doomed && !(known && known->final())) return false;
+  const bool dependency_cancelled = deps_.records.graph().has_cancelled_dependency(id);
+  if (!dependency_cancelled && !(known && known->final())) return false;
   task_counts_.erase(id);
   const JobStatus status = known && known->final() ? known->status : JobStatus::cancelled;
   // A job that needs a cancelled job never had tasks. The owner of any other cancelled job may still start
   // tasks of it until it knows of the cancellation.
-  if (status == JobStatus::cancelled && !doomed && !deps_.may_confirm_cancellation(id))
+  if (status == JobStatus::cancelled && !dependency_cancelled && !deps_.may_confirm_cancellation(id))
     confirm_cancellation(exchange, id, deps_.loop.now() + kPeerAnswerTimeout);
   else
     exchange->answer(200, wire::status_body(id, status));
@@ -290,12 +290,13 @@
   answer_with_status(exchange, 200, id);
 }
 
-void JobApi::cancel(const ExchangePtr& exchange, const std::string& id, int tries) {
+void JobApi::cancel(const ExchangePtr& exchange, const std::string& id, int attempts_left) {
   if (answer_if_final(exchange, id)) return;
-  if (!deps_.records.synced() || tries == 0)
+  if (!deps_.records.synced() || attempts_left == 0)
     return answer_retry(exchange, "the job record cannot be changed now");
   deps_.store.get(
-      kJobPrefix + id, store::Urgency::accept, [this, exchange, id, tries](int code, const wire::Row& row) {
+      kJobPrefix + id, store::Urgency::accept,
+      [this, exchange, id, attempts_left](int code, const wire::Row& row) {
         if (code == 404) return exchange->answer(404, wire::error_body("no such job"));
         if (code != 200) return answer_retry(exchange, "the state service is not available");
         job::JobRecord record;
@@ -322,8 +323,8 @@
             {{kJobPrefix + id, row.version}},
             {{kJobPrefix + id, job::cancelled_record_json(record, platform_.value_room()), {}, false}},
             store::Urgency::accept,
-            [this, exchange, id, tries, record](int commit_status, std::uint64_t revision) mutable {
-              if (commit_status == 409) return cancel(exchange, id, tries - 1);
+            [this, exchange, id, attempts_left, record](int commit_status, std::uint64_t revision) mutable {
+              if (commit_status == 409) return cancel(exchange, id, attempts_left - 1);
               if (commit_status != 200)
                 return answer_retry(exchange, "the cancellation could not be recorded");
               record.version = revision;
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -41,7 +41,7 @@
   void cancel(const net::ExchangePtr& exchange, const std::string& id);
 
   /// Handles the answer of a peer that was asked for the status of a job of its share.
-  void on_peer_status(const share::StatusReply& tell);
+  void on_peer_status(const share::StatusReply& reply);
   std::uint64_t request_count() const { return request_count_; }
 
  private:
@@ -73,7 +73,7 @@
   void cache_task_counts(const std::string& id, TaskCounts counts);
   void look_up_job(const net::ExchangePtr& exchange, const std::string& id);
   void answer_with_task_counts(const net::ExchangePtr& exchange, const std::string& id);
-  void cancel(const net::ExchangePtr& exchange, const std::string& id, int tries);
+  void cancel(const net::ExchangePtr& exchange, const std::string& id, int attempts_left);
   void answer_retry(const net::ExchangePtr& exchange, const std::string& reason);
 
   const wire::PlatformSettings& platform_;
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -52,7 +52,7 @@
 }
 
 void Leader::machine_registered(const std::string& machine) {
-  if (provisioner_) provisioner_->adopted(machine);
+  if (provisioner_) provisioner_->on_machine_registered(machine);
 }
 
 void Leader::fetch_types() {
@@ -87,7 +87,7 @@
                          machines->insert(machines->end(), page.machines.begin(), page.machines.end());
                          if (page.more && !page.machines.empty())
                            return list_machines(machines->back().id, machines);
-                         provisioner_->listed(*machines, machines_, deps_.now());
+                         provisioner_->on_machines_listed(*machines, machines_, deps_.now());
                        } catch (const std::exception& e) {
                          spdlog::error("cannot read the answer of the cloud: {}", e.what());
                        }
@@ -95,31 +95,32 @@
 }
 
 void Leader::rent_machines(const fleet::RentMachines& rent) {
-  if (call_budget_ < 1) return provisioner_->rented(rent, 429, {}, deps_.now() - 3600 * kSecond);
+  if (call_budget_ < 1) return provisioner_->on_rent_result(rent, 429, {}, deps_.now() - 3600 * kSecond);
   call_budget_ -= 1;
-  const std::string request = request_names_.next(epoch_);
-  deps_.http.request(net::Method::post, platform_.cloud, "/rentals",
-                     wire::rental_body(request, types_[rent.type].name, rent.zone, rent.spot, rent.count),
-                     kCloudTimeout, [this, epoch = epoch_, rent](int code, const std::string& body) {
-                       if (!provisioner_ || epoch_ != epoch) return;
-                       std::vector<std::string> ids;
-                       if (code == 200) try {
-                           ids = wire::parse_rented(body);
-                         } catch (const std::exception& e) {
-                           spdlog::error("cannot read the answer of the cloud: {}", e.what());
-                         }
-                       provisioner_->rented(rent, code, ids, deps_.now());
-                     });
+  const std::string idempotency_key = idempotency_keys_.next(epoch_);
+  deps_.http.request(
+      net::Method::post, platform_.cloud, "/rentals",
+      wire::rental_body(idempotency_key, types_[rent.type].name, rent.zone, rent.spot, rent.count),
+      kCloudTimeout, [this, epoch = epoch_, rent](int code, const std::string& body) {
+        if (!provisioner_ || epoch_ != epoch) return;
+        std::vector<std::string> ids;
+        if (code == 200) try {
+            ids = wire::parse_rented(body);
+          } catch (const std::exception& e) {
+            spdlog::error("cannot read the answer of the cloud: {}", e.what());
+          }
+        provisioner_->on_rent_result(rent, code, ids, deps_.now());
+      });
 }
 
 void Leader::delete_machines(const fleet::DeleteMachines& deletion) {
-  if (call_budget_ < 1) return provisioner_->deleted(deletion.machines, false, deps_.now());
+  if (call_budget_ < 1) return provisioner_->on_delete_result(deletion.machines, false, deps_.now());
   call_budget_ -= 1;
   deps_.http.request(net::Method::post, platform_.cloud, "/rentals/delete",
                      wire::rental_delete_body(deletion.machines), kCloudTimeout,
                      [this, epoch = epoch_, ids = deletion.machines](int code, const std::string&) {
                        if (!provisioner_ || epoch_ != epoch || code != 200) return;
-                       provisioner_->deleted(ids, true, deps_.now());
+                       provisioner_->on_delete_result(ids, true, deps_.now());
                        spdlog::info("deleted {} machines: {} ...", ids.size(), ids.front());
                        deps_.machines_deleted(ids);
                      });
--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -61,7 +61,7 @@
   Dependencies deps_;
   std::unique_ptr<fleet::Provisioner> provisioner_;
   std::uint64_t epoch_ = 0;
-  fleet::RentalIdempotencyKeys request_names_;
+  fleet::RentalIdempotencyKeys idempotency_keys_;
   bool fetching_types_ = false, listing_ = false;
   Micros next_list_ = 0, next_price_fetch_ = 0, last_refill_ = 0;
   double call_budget_ = 1;  // calls that the rate limit allows now
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -102,8 +102,8 @@
 }
 
 void OwnedShares::on_records_refreshed() {
-  ownership_.records_read(records().records_as_of());
-  for (auto& [share, owned] : owned_) owned.controller->records_read(records().records_as_of());
+  ownership_.set_records_as_of(records().records_as_of());
+  for (auto& [share, owned] : owned_) owned.controller->set_records_as_of(records().records_as_of());
 }
 
 // ---------------------------------------------------------------- owners
@@ -135,8 +135,8 @@
     const int share_index = share;
     share::ShareController& controller = *owned.controller;
     auto add_or_update = [&controller, share_index, now,
-                          taken = owned.acquired_version](const share::MachineRecord& m) {
-      if (m.share == share_index) controller.on_machine_record(m, m.version > taken, now);
+                          since_version = owned.acquired_version](const share::MachineRecord& m) {
+      if (m.share == share_index) controller.on_machine_record(m, m.version > since_version, now);
     };
     for (const auto& id : changed) {
       const auto* m = records().machine(id);
@@ -197,25 +197,25 @@
 /// Reads the progress rows that former owners of the share wrote; retried until the state service answers.
 void OwnedShares::load_progress(int share, std::uint64_t generation) {
   const std::string prefix = kProgressPrefix + std::to_string(share) + "/";
-  deps_.store.list(
-      prefix, [this, share, generation, prefix](bool ok, const std::vector<wire::Row>& rows, std::uint64_t) {
-        OwnedShare* owned = find(share, generation);
-        if (!owned) return;
-        if (!ok)
-          return deps_.loop.later(kLoadRetryDelay,
-                                  [this, share, generation] { load_progress(share, generation); });
-        std::vector<std::string> obsolete_keys;
-        for (const auto& r : rows) {
-          const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
-          if (!name || !r.value.is_string()) continue;
-          if (const auto* j = records().job(name->first); j && j->final()) obsolete_keys.push_back(r.key);
-          owned->controller->load_done(name->first, name->second, r.value.get<std::string>(), r.version);
-        }
-        deps_.records.delete_keys(
-            std::move(obsolete_keys));  // left by an owner that ended, or by a version without unit rows
-        owned->controller->finish_loading(deps_.loop.now());
-        deps_.schedule_tick();
-      });
+  deps_.store.list(prefix, [this, share, generation, prefix](bool ok, const std::vector<wire::Row>& rows,
+                                                             std::uint64_t) {
+    OwnedShare* owned = find(share, generation);
+    if (!owned) return;
+    if (!ok)
+      return deps_.loop.later(kLoadRetryDelay,
+                              [this, share, generation] { load_progress(share, generation); });
+    std::vector<std::string> obsolete_keys;
+    for (const auto& r : rows) {
+      const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
+      if (!name || !r.value.is_string()) continue;
+      if (const auto* j = records().job(name->first); j && j->final()) obsolete_keys.push_back(r.key);
+      owned->controller->load_progress_row(name->first, name->second, r.value.get<std::string>(), r.version);
+    }
+    deps_.records.delete_keys(
+        std::move(obsolete_keys));  // left by an owner that ended, or by a version without unit rows
+    owned->controller->finish_loading(deps_.loop.now());
+    deps_.schedule_tick();
+  });
 }
 
 void OwnedShares::job_updated(const std::string& id, const job::JobRecord& record) {
@@ -228,8 +228,8 @@
     owned.controller->on_job_record(id, record, since > owned.acquired_version, deps_.loop.now(),
                                     deps_.loop.time_of_day());
     if (!record.final())
-      owned.controller->set_priority_and_deadline(id, records().graph().scheduling_goals(id, record),
-                                                  deps_.loop.now(), deps_.loop.time_of_day());
+      owned.controller->set_scheduling_goals(id, records().graph().scheduling_goals(id, record),
+                                             deps_.loop.now(), deps_.loop.time_of_day());
   }
 }
 
--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -39,7 +39,7 @@
     std::uint64_t pending_epoch = 0;  // epoch that is being committed, perhaps executed already; 0: none
     Micros last_raise_attempt = 0;    // time of the last attempt to raise the epoch
     bool loading = false, handing_back = false;
-    std::string renewal_block;  // why worker reports are not answered, as logged last; empty: they are
+    std::string renewal_refusal;  // why worker reports are not answered, as logged last; empty: they are
     place::StartRefusal last_refusal = place::StartRefusal::none;  // as evaluated last
     Micros refused_since = 0;
   };
@@ -115,7 +115,7 @@
   void remove_owner_key(int share, std::uint64_t generation, std::uint64_t version, bool maybe_executed);
   void raise_epoch(int share, OwnedShare& owned);
   void refresh_stale_records();
-  void log_refusal_change(int share, OwnedShare& owned, place::StartRefusal now_refused);
+  void log_refusal_change(int share, OwnedShare& owned, place::StartRefusal refusal);
   void log_renewal_change(int share, OwnedShare& owned) const;
   std::string loss_reason(const share::OwnerKey* key) const;
   void create_controller(int share, const share::OwnerKey& key);
--- a/src/app/owned_shares_keys.cpp
+++ b/src/app/owned_shares_keys.cpp
@@ -154,8 +154,8 @@
   on_records_refreshed();
   refresh_stale_records();
   if (ownership_.lease()) deps_.records.announce_formats(*ownership_.lease());
-  for (const int share : ownership_.shares_to_take(deps_.loop.now())) acquire_share(share);
-  if (ownership_.take_leader(deps_.loop.now())) acquire_leadership();
+  for (const int share : ownership_.shares_to_acquire(deps_.loop.now())) acquire_share(share);
+  if (ownership_.should_acquire_leadership(deps_.loop.now())) acquire_leadership();
   if (auto share = ownership_.share_to_hand_back(deps_.loop.now())) hand_back(*share);
   for (auto& [share, owned] : owned_) {
     raise_epoch(share, owned);
@@ -166,12 +166,12 @@
 /// Logs for operators when answering worker reports stops or resumes.
 void OwnedShares::log_renewal_change(int share, OwnedShare& owned) const {
   auto why = ownership_.renewal_refusal_reason(share, deps_.loop.now());
-  if (why.empty() == owned.renewal_block.empty()) return;
+  if (why.empty() == owned.renewal_refusal.empty()) return;
   if (why.empty())
     spdlog::info("share {}: worker reports are answered again", share);
   else
     spdlog::info("share {}: worker reports are not answered: {}", share, why);
-  owned.renewal_block = std::move(why);
+  owned.renewal_refusal = std::move(why);
 }
 
 }  // namespace aspenwick::app
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -60,7 +60,7 @@
 }
 
 void PeerService::send_cancellations(const std::string& peer) {
-  if (const auto tell = cancellations_.message_for(peer)) deps_.peers.send(peer, *tell);
+  if (const auto notice = cancellations_.message_for(peer)) deps_.peers.send(peer, *notice);
 }
 
 void PeerService::send_heartbeats() {
@@ -119,8 +119,9 @@
   const auto& ownership = deps_.owned_shares.ownership();
   for (int index = 0; index < ownership.share_count(); ++index) {
     if (!ownership.owner(index) || deps_.owned_shares.find(index)) continue;
-    auto told = reported_states_.find(index);
-    if (told == reported_states_.end() || now - told->second.received > kReportedStateMaxAge) return false;
+    auto reported = reported_states_.find(index);
+    if (reported == reported_states_.end() || now - reported->second.received > kReportedStateMaxAge)
+      return false;
   }
   return true;
 }
@@ -135,9 +136,9 @@
 std::vector<share::ShareReport> PeerService::all_share_states() const {
   auto shares = deps_.owned_shares.share_states();
   const Micros now = deps_.loop.now();
-  for (const auto& [share, told] : reported_states_)
-    if (now - told.received <= kReportedStateMaxAge && !deps_.owned_shares.find(share))
-      shares.push_back(told.state);
+  for (const auto& [share, reported] : reported_states_)
+    if (now - reported.received <= kReportedStateMaxAge && !deps_.owned_shares.find(share))
+      shares.push_back(reported.state);
   return shares;
 }
 
@@ -155,32 +156,32 @@
 void PeerService::handle_frame(const share::Frame& frame, const share::PeerTransport::Reply& reply) {
   if (const auto* gossip = std::get_if<share::Gossip>(&frame))
     handle(*gossip);
-  else if (const auto* ask = std::get_if<share::ReleaseRequest>(&frame))
-    handle(*ask);
-  else if (const auto* status_ask = std::get_if<share::StatusRequest>(&frame))
-    handle(*status_ask, reply);
-  else if (const auto* status_tell = std::get_if<share::StatusReply>(&frame))
-    deps_.status_received(*status_tell);
-  else if (const auto* plain_tell = std::get_if<share::LegacyCancelNotice>(&frame))
-    handle(*plain_tell);
-  else if (const auto* cancel_tell = std::get_if<share::CancelNotice>(&frame))
-    handle(*cancel_tell);
+  else if (const auto* release_request = std::get_if<share::ReleaseRequest>(&frame))
+    handle(*release_request);
+  else if (const auto* status_request = std::get_if<share::StatusRequest>(&frame))
+    handle(*status_request, reply);
+  else if (const auto* status_reply = std::get_if<share::StatusReply>(&frame))
+    deps_.status_received(*status_reply);
+  else if (const auto* legacy_notice = std::get_if<share::LegacyCancelNotice>(&frame))
+    handle(*legacy_notice);
+  else if (const auto* cancel_notice = std::get_if<share::CancelNotice>(&frame))
+    handle(*cancel_notice);
   else if (const auto* heartbeat = std::get_if<share::Heartbeat>(&frame))
     handle(*heartbeat);
 }
 
 void PeerService::handle(const share::Heartbeat& heartbeat) {
-  auto outcome = heartbeats_.heard(heartbeat, deps_.loop.now());
-  if (outcome.state) {
+  auto reception = heartbeats_.receive(heartbeat, deps_.loop.now());
+  if (reception.state) {
     // Repeated with each heartbeat of the peer, so that nothing queues up for a peer that cannot be reached.
     cancellations_.set_peer_progress(heartbeat.node, heartbeat.records_read_to, heartbeat.acked_cancellation);
     send_cancellations(heartbeat.node);
-    outcome.state->all_cancellations_known =
+    reception.state->all_cancellations_known =
         cancellations_.received_up_to(heartbeat.node, heartbeat.incarnation) >=
         heartbeat.highest_cancellation;
-    deps_.owned_shares.ownership().peer_reported(heartbeat.node, *outcome.state);
+    deps_.owned_shares.ownership().peer_reported(heartbeat.node, *reception.state);
   }
-  if (outcome.reply_needed) send_heartbeat(heartbeat.node);
+  if (reception.reply_needed) send_heartbeat(heartbeat.node);
 }
 
 void PeerService::handle(const share::Gossip& gossip) {
@@ -200,38 +201,40 @@
   for (const auto& state : gossip.shares) reported_states_[state.share] = {gossip.node, now, state};
 }
 
-void PeerService::handle(const share::ReleaseRequest& ask) {
-  const auto* machine = deps_.records.machine(ask.machine);
+void PeerService::handle(const share::ReleaseRequest& release_request) {
+  const auto* machine = deps_.records.machine(release_request.machine);
   auto* owned = machine ? deps_.owned_shares.find(machine->share) : nullptr;
-  if (!owned || ask.to_share >= deps_.owned_shares.ownership().share_count()) return;
-  if (ask.drain)
-    owned->controller->drain(ask.machine, ask.to_share, ask.rank, deps_.loop.now());
+  if (!owned || release_request.to_share >= deps_.owned_shares.ownership().share_count()) return;
+  if (release_request.drain)
+    owned->controller->drain(release_request.machine, release_request.to_share, release_request.rank,
+                             deps_.loop.now());
   else
-    deps_.move_machine(ask.machine, ask.to_share);
+    deps_.move_machine(release_request.machine, release_request.to_share);
 }
 
-void PeerService::handle(const share::StatusRequest& ask, const share::PeerTransport::Reply& reply) {
-  share::StatusReply tell;
-  tell.request = ask.request;
+void PeerService::handle(const share::StatusRequest& status_request,
+                         const share::PeerTransport::Reply& reply) {
+  share::StatusReply status_reply;
+  status_reply.request = status_request.request;
   for (const auto& [share, owned] : deps_.owned_shares.all())
-    if (auto tally = owned.controller->task_counts(ask.job))
-      tell.known = true, tell.done = tally->first, tell.running = tally->second;
-  reply(tell);
+    if (auto counts = owned.controller->task_counts(status_request.job))
+      status_reply.known = true, status_reply.done = counts->first, status_reply.running = counts->second;
+  reply(status_reply);
 }
 
-void PeerService::handle(const share::LegacyCancelNotice& tell) {
+void PeerService::handle(const share::LegacyCancelNotice& notice) {
   // The revision is not known: the record with the cancellation is still to come.
-  deps_.records.apply_peer_cancellation(tell.job, 0);
+  deps_.records.apply_peer_cancellation(notice.job, 0);
   deps_.records.publish_graph_changes();
   deps_.schedule_tick();
 }
 
-void PeerService::handle(const share::CancelNotice& tell) {
-  for (const auto& job : tell.jobs) deps_.records.apply_peer_cancellation(job.id, job.revision);
+void PeerService::handle(const share::CancelNotice& notice) {
+  for (const auto& job : notice.jobs) deps_.records.apply_peer_cancellation(job.id, job.revision);
   deps_.records.publish_graph_changes();
-  cancellations_.heard(tell);
+  cancellations_.receive(notice);
   deps_.schedule_tick();
-  send_heartbeat(tell.node);  // confirms that we know them; a user is waiting for it
+  send_heartbeat(notice.node);  // confirms that we know them; a user is waiting for it
 }
 
 }  // namespace aspenwick::app
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -73,10 +73,10 @@
     share::ShareReport state;
   };
   void handle(const share::Gossip& gossip);
-  void handle(const share::ReleaseRequest& ask);
-  void handle(const share::StatusRequest& ask, const share::PeerTransport::Reply& reply);
-  void handle(const share::LegacyCancelNotice& tell);
-  void handle(const share::CancelNotice& tell);
+  void handle(const share::ReleaseRequest& release_request);
+  void handle(const share::StatusRequest& status_request, const share::PeerTransport::Reply& reply);
+  void handle(const share::LegacyCancelNotice& notice);
+  void handle(const share::CancelNotice& notice);
   void handle(const share::Heartbeat& heartbeat);
   void send_heartbeat(const std::string& peer);
   void send_cancellations(const std::string& peer);
--- a/src/app/records.h
+++ b/src/app/records.h
@@ -74,7 +74,7 @@
   /// Calls `job_updated` for jobs that became ready and for jobs whose rank or deadline changed through the
   /// jobs that need them.
   void publish_graph_changes();
-  void replan() { graph_.recompute_finish_times(); }
+  void recompute_finish_times() { graph_.recompute_finish_times(); }
 
   // ---- reads and writes in the state service
   /// Deletes rows that nothing reads any more; not retried.
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -19,7 +19,7 @@
 constexpr Micros kFinishRetryDelay = 300 * kMillisecond;
 constexpr Micros kMoveRetryDelay = 100 * kMillisecond;
 constexpr Micros kMoveUnknownRetryDelay = kSecond;
-constexpr Micros kForeignReadInterval = 2 * kSecond;
+constexpr Micros kChunkReadInterval = 2 * kSecond;
 
 std::string progress_key(int share, const std::string& job, std::uint32_t row) {
   return kProgressPrefix + std::to_string(share) + "/" + job + "/" + share::ShareController::row_name(row);
@@ -35,7 +35,7 @@
   for (auto& [share, owned] : deps_.owned_shares.all())
     owned.controller->set_all_controllers_read_units(all_nodes_read_units);
   write_progress();
-  read_foreign_chunks();
+  read_chunks_of_other_shares();
 }
 
 /// Progress rows are written at a limited rate that leaves most writes to users and machines; until they are
@@ -52,7 +52,7 @@
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     if (!deps_.owned_shares.may_commit(owned)) continue;
     const auto max_rows = static_cast<std::size_t>(std::max(0.0, progress_budget_));
-    const auto writes = owned.controller->take_done_writes(
+    const auto writes = owned.controller->take_progress_writes(
         std::min({deps_.store.txn_ops(), kMaxProgressRowsPerCommit, max_rows}), now);
     progress_budget_ -= static_cast<double>(writes.size());
     if (writes.empty()) continue;
@@ -69,7 +69,7 @@
             OwnedShares::OwnedShare* current = deps_.owned_shares.find(share, generation);
             if (!current) return;
             if (code == 200)
-              current->controller->on_done_write_result(write, true, revision);
+              current->controller->on_progress_write_result(write, true, revision);
             else
               reread_progress_version(share, generation, write);
           }
@@ -80,16 +80,16 @@
 /// A machine that joined with results of another share's job, as owners of earlier versions handed it over,
 /// is not released until the owner of that share has recorded them. The progress rows are read here one after
 /// the other; the end of the job settles it as well.
-void ResultWriter::read_foreign_chunks() {
+void ResultWriter::read_chunks_of_other_shares() {
   const Micros now = deps_.loop.now();
-  if (now - last_foreign_read_ < kForeignReadInterval) return;
-  last_foreign_read_ = now;
+  if (now - last_chunk_read_at_ < kChunkReadInterval) return;
+  last_chunk_read_at_ = now;
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     const auto chunks = owned.controller->needed_chunks_of_other_shares();
     if (chunks.empty()) continue;
-    auto next = chunks.upper_bound(last_foreign_chunk_);
+    auto next = chunks.upper_bound(last_chunk_read_);
     if (next == chunks.end()) next = chunks.begin();
-    last_foreign_chunk_ = *next;
+    last_chunk_read_ = *next;
     const auto& [job, chunk] = *next;
     const auto* record = deps_.records.job(job);
     if (!record || !record->spec) continue;
@@ -108,13 +108,13 @@
 
 /// The commit may have been executed: the version of the row must be read before the next attempt.
 void ResultWriter::reread_progress_version(int share, std::uint64_t generation,
-                                           const share::ShareController::DoneWrite& write) {
+                                           const share::ShareController::ProgressWrite& write) {
   deps_.store.get(progress_key(share, write.job, write.row), store::Urgency::read,
                   [this, share, generation, write](int code, const wire::Row& row) {
                     OwnedShares::OwnedShare* current = deps_.owned_shares.find(share, generation);
                     if (!current) return;
                     const std::uint64_t version = code == 200 ? row.version : code == 404 ? 0 : write.version;
-                    current->controller->on_done_write_result(write, false, version);
+                    current->controller->on_progress_write_result(write, false, version);
                   });
 }
 
@@ -137,7 +137,7 @@
   record.finished = deps_.loop.time_of_day();
   std::vector<wire::Write> writes{{kJobPrefix + id, job::record_to_json(record), {}, false}};
   std::vector<std::string> remaining_keys;
-  for (const auto& name : owned.controller->done_row_keys(id)) {
+  for (const auto& name : owned.controller->progress_row_names(id)) {
     const std::string key = kProgressPrefix + std::to_string(share) + "/" + name;
     if (writes.size() < deps_.store.txn_ops())
       writes.push_back({key, nullptr, {}, true});
--- a/src/app/result_writer.h
+++ b/src/app/result_writer.h
@@ -44,17 +44,17 @@
                    std::uint64_t key_version, bool maybe_executed);
   void keep_unless_moved(share::MachineRecord machine, int from, std::uint64_t generation);
   void keep_machine(const std::string& machine, int from);
-  void read_foreign_chunks();
+  void read_chunks_of_other_shares();
   void reread_progress_version(int share, std::uint64_t generation,
-                               const share::ShareController::DoneWrite& write);
+                               const share::ShareController::ProgressWrite& write);
 
   const wire::PlatformSettings& platform_;
   Dependencies deps_;
   bool cancelling_ = false;
   std::size_t cancel_batch_ = 8;
   std::set<std::string> moving_;
-  Micros last_progress_write_ = 0, last_move_ = 0, last_foreign_read_ = 0;
-  std::pair<std::string, std::uint32_t> last_foreign_chunk_;  // the chunk that was read last
+  Micros last_progress_write_ = 0, last_move_ = 0, last_chunk_read_at_ = 0;
+  std::pair<std::string, std::uint32_t> last_chunk_read_;  // the chunk that was read last
   double progress_budget_ = 0, move_budget_ = 0;
 };
 
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -137,7 +137,7 @@
     } catch (const std::exception& e) {
       spdlog::error("cannot read the answer of worker {}: {}", machine, e.what());
     }
-  owned->controller->pushed(machine, report ? code : 0, report, deps_.loop.now());
+  owned->controller->on_push_result(machine, report ? code : 0, report, deps_.loop.now());
   deps_.schedule_tick();
 }
 
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -24,8 +24,8 @@
   for (const auto& t : current) spot_price_[t.name] = t.spot_price;
 }
 
-void Provisioner::listed(const std::vector<wire::CloudMachine>& machines,
-                         const std::map<std::string, MachineRecord>& records, Micros now) {
+void Provisioner::on_machines_listed(const std::vector<wire::CloudMachine>& machines,
+                                     const std::map<std::string, MachineRecord>& records, Micros now) {
   std::set<std::string> seen;
   for (const auto& c : machines) {
     seen.insert(c.id);
@@ -53,8 +53,8 @@
   });
 }
 
-void Provisioner::rented(const RentMachines& rent, int status, const std::vector<std::string>& ids,
-                         Micros now) {
+void Provisioner::on_rent_result(const RentMachines& rent, int status, const std::vector<std::string>& ids,
+                                 Micros now) {
   if (auto it = std::find(unanswered_rents_.begin(), unanswered_rents_.end(), rent);
       it != unanswered_rents_.end())
     unanswered_rents_.erase(it);
@@ -70,7 +70,7 @@
   spdlog::info("rental request {} x{}: status {}, {} machines granted", key, rent.count, status, ids.size());
 }
 
-void Provisioner::deleted(const std::vector<std::string>& ids, bool ok, Micros) {
+void Provisioner::on_delete_result(const std::vector<std::string>& ids, bool ok, Micros) {
   for (const auto& id : ids) {
     if (!ok) {
       deleting_.erase(id);
@@ -86,7 +86,7 @@
   if (it != booting_.end() && it->second.claimed_by_share >= 0) return it->second.claimed_by_share;
   // With fewer teams than shares, the last shares plan no team's jobs and could not use the machine.
   const int shares_with_teams = std::clamp(static_cast<int>(platform_.teams.size()), 1, std::max(1, shares));
-  return next_adopting_share_++ % shares_with_teams;
+  return next_registration_share_++ % shares_with_teams;
 }
 
 /// How many of the demand's tasks fit into `capacity` together.
@@ -192,11 +192,11 @@
       machine.zone = record->second.zone;
       machine.spot = record->second.spot, machine.empty = m.empty, machine.free = m.free,
       machine.idle_ms = m.idle_ms;
-      machine.top_rank = m.top_rank;
+      machine.highest_rank = m.highest_rank;
       if (machine.type >= types_.size()) continue;
       const auto& total = types_[machine.type].total;
       // Low-rank tasks that use no GPU are preempted for GPU work: all of the machine counts as free.
-      if (gpu_work_types_[machine.type] && machine.top_rank == wire::Rank::low && !machine.empty &&
+      if (gpu_work_types_[machine.type] && machine.highest_rank == wire::Rank::low && !machine.empty &&
           machine.free.gpus == total.gpus)
         machine.free = total;
       machine.owner_share = s.share;
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -82,13 +82,13 @@
 
   /// The cloud's complete machine list. It may lag by the platform's `list_lag`, and an older list may follow
   /// a newer one.
-  void listed(const std::vector<wire::CloudMachine>& machines,
-              const std::map<std::string, MachineRecord>& records, Micros now);
+  void on_machines_listed(const std::vector<wire::CloudMachine>& machines,
+                          const std::map<std::string, MachineRecord>& records, Micros now);
   /// The answer to a RentMachines action, with the HTTP status and the ids of the machines granted. Must be
   /// called for every such action: unanswered ones count as capacity and are limited in number.
-  void rented(const RentMachines& rent, int status, const std::vector<std::string>& ids, Micros now);
+  void on_rent_result(const RentMachines& rent, int status, const std::vector<std::string>& ids, Micros now);
   /// The outcome of a DeleteMachines action; not ok: they may be requested again at once.
-  void deleted(const std::vector<std::string>& ids, bool ok, Micros now);
+  void on_delete_result(const std::vector<std::string>& ids, bool ok, Micros now);
   void set_spot_prices(const std::vector<wire::MachineType>& current);
 
   /// Plans one pass over all shares' demands and machines; called about twice a second. `records` are the
@@ -98,7 +98,7 @@
   /// The share for a machine whose worker reports before the machine has a record; `shares` is their number.
   int share_for(const std::string& machine, const std::string& type, int shares);
   /// The machine has a record now.
-  void adopted(const std::string& machine) { booting_.erase(machine); }
+  void on_machine_registered(const std::string& machine) { booting_.erase(machine); }
   bool has_booting() const { return !booting_.empty(); }
 
  private:
@@ -125,7 +125,7 @@
     bool unused_long_enough = false;  // for at least kMinUnusedTime
     int owner_share = -1;             // also while it is drained for another share
     std::uint32_t idle_ms = 0;
-    wire::Rank top_rank = wire::Rank::low;  // of its tasks
+    wire::Rank highest_rank = wire::Rank::low;  // of its tasks
   };
   /// The resources that a machine has had free continuously since a point in time.
   struct UnusedCapacity {
@@ -209,7 +209,7 @@
   std::map<std::string, UnusedCapacity> unused_capacity_;  // by machine
   std::vector<bool> gpu_work_types_;  // by machine type: GPU work that can use it has been seen
   Micros next_drain_ = 0, next_consolidation_ = 0, next_rebalance_ = 0;
-  int next_adopting_share_ = 0;  // round robin
+  int next_registration_share_ = 0;  // round robin
 };
 
 }  // namespace aspenwick::fleet
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -25,7 +25,7 @@
 /// The machine runs only low-rank tasks that use no GPU, so it can be drained for another share's GPU work.
 bool Provisioner::can_drain_for_gpu_work(const MachineCapacity& machine, const PendingDemand& pending) const {
   return pending.demand.need.gpus > 0 && !machine.booting && !machine.empty && !machine.reserved_for_gpu &&
-         machine.share != pending.share && machine.top_rank == wire::Rank::low &&
+         machine.share != pending.share && machine.highest_rank == wire::Rank::low &&
          machine.free.gpus == types_[machine.type].total.gpus && !draining_.contains(machine.id);
 }
 
@@ -64,7 +64,7 @@
     MachineCapacity* cheapest = nullptr;
     double lowest_loss = 0;
     for (auto& machine : plan.capacities) {
-      if (machine.booting || machine.share == pending.share || machine.top_rank >= pending.demand.rank ||
+      if (machine.booting || machine.share == pending.share || machine.highest_rank >= pending.demand.rank ||
           machine.empty)
         continue;
       if (draining_.contains(machine.id) ||
@@ -106,7 +106,7 @@
       !fits_only_gpu_work_types(pending))
     return false;
   return pending.demand.starved && !machine.booting && !machine.empty && machine.share != pending.share &&
-         !draining_.contains(machine.id) && machine.top_rank < wire::Rank::production &&
+         !draining_.contains(machine.id) && machine.highest_rank < wire::Rank::production &&
          machine.unused_long_enough && can_use(pending, machine) &&
          pending.demand.need.fits_in(machine.free) && pending.demand.need.fits_in(machine.unused);
 }
@@ -115,7 +115,7 @@
 /// higher, all may finish, and nothing more is placed there.
 void Provisioner::drain_underused_machine(Plan& plan, MachineCapacity& machine,
                                           const PendingDemand& pending) {
-  const bool lower = machine.top_rank < pending.demand.rank;
+  const bool lower = machine.highest_rank < pending.demand.rank;
   draining_[machine.id] = {pending.share, plan.now + (lower ? kPreemptingDrainTime : kGracefulDrainTime)};
   plan.actions.emplace_back(MoveMachine{machine.id, machine.share, pending.share, true,
                                         lower ? pending.demand.rank : wire::Rank::low});
@@ -132,7 +132,7 @@
   while (pending.remaining > 0) {
     MachineCapacity* best = nullptr;
     const auto key = [&](const MachineCapacity& machine) {
-      return std::pair{machine.top_rank, types_[machine.type].total.cpus - machine.free.cpus};
+      return std::pair{machine.highest_rank, types_[machine.type].total.cpus - machine.free.cpus};
     };
     for (auto& machine : plan.capacities)
       if (has_unused_capacity_for(machine, pending) && (!best || key(machine) < key(*best))) best = &machine;
@@ -226,7 +226,7 @@
     const auto n = tasks_fitting(pending.demand, types_[machine.type].total);
     if (draining_.contains(machine.id) && machine.share == to) tasks_to_shift -= n;
     if (machine.share != from || machine.booting || machine.empty || draining_.contains(machine.id) ||
-        n == 0 || machine.top_rank != wire::Rank::low || types_[machine.type].total.gpus > 0 ||
+        n == 0 || machine.highest_rank != wire::Rank::low || types_[machine.type].total.gpus > 0 ||
         !matches_constraints(pending, machine.type, machine.zone, machine.spot))
       continue;
     // With many tasks, the last one ends late, and the rest of the machine is idle until then.
--- a/src/fleet/provisioner_releasing.cpp
+++ b/src/fleet/provisioner_releasing.cpp
@@ -16,7 +16,7 @@
       continue;
     const auto& total = types_[machine.type].total;
     if (total.gpus == 0 || gpu_work_types_[machine.type] || machine.spot ||
-        machine.top_rank >= wire::Rank::production)
+        machine.highest_rank >= wire::Rank::production)
       continue;
     std::int64_t free_elsewhere = 0;
     for (const auto& o : plan.capacities)
@@ -48,7 +48,7 @@
       }
       if (machine.reserved_for_gpu ||
           idle < (machine.spot ? settings_.idle_spot_gpu_after : settings_.idle_gpu_after) ||
-          machine.top_rank > wire::Rank::low)
+          machine.highest_rank > wire::Rank::low)
         continue;
       if (!machine.empty) draining_[machine.id] = {-1, plan.now + kPreemptingDrainTime};
       plan.actions.emplace_back(
--- a/src/place/cluster_view.h
+++ b/src/place/cluster_view.h
@@ -145,7 +145,7 @@
   std::uint64_t own_report_seq = 0;  // newest report that the worker sent itself in this session; 0: none
   Micros idle_since = 0, last_report = 0, next_push_at = 0;  // no push before next_push_at
   int pushes_lost = 0;                                       // consecutive pushes without an answer
-  std::uint64_t launch_token = 0;                            // token of the last push that held start orders
+  std::uint64_t start_push_token = 0;                        // token of the last push that held start orders
   DeliveryTracker delivery;
   std::set<std::string> error_jobs;  // jobs that failed on it since a task last succeeded there
   std::vector<std::pair<std::string, double>> cached_images;  // name and size in GB, most recently used first
@@ -182,7 +182,7 @@
   std::uint64_t version = 0;
   bool accepted_since_takeover = false;  // so no attempt of it predates our ownership
   bool cancelled = false, finished = false, committing = false;
-  DoneSet done, recorded, recorded_whole;  // recorded_whole: in rows that every version can read
+  DoneSet done, recorded, recorded_in_chunks;  // recorded_in_chunks: in rows that every version can read
   std::map<std::uint32_t, std::uint64_t> row_versions;
   std::set<std::uint32_t> dirty_units, rows_in_flight;  // units with unrecorded results; rows being written
   std::map<std::uint32_t, Machine*> active;             // task index -> machine of its attempt
@@ -200,9 +200,9 @@
   Micros first_started_at = 0;  // when a gang was first placed
   Micros spot_only_until = 0;   // a gang halted to move to spot machines may use only these until then
   Micros moved_to_spot_at = 0;
-  Micros waiting_since = 0;  // no task was started since, although quota and back-off allowed it
-  bool passed_over = false;  // waits so long that the leader looks for capacity in other shares
-  bool any_room = false;     // waits so long that machines kept for GPU work may be used too
+  Micros waiting_since = 0;          // no task was started since, although quota and back-off allowed it
+  bool starved = false;              // waits so long that the leader looks for capacity in other shares
+  bool accepts_any_machine = false;  // waits so long that machines kept for GPU work may be used too
   /// Tasks that are neither done nor placed.
   std::uint32_t waiting() const {
     // Done tasks of a gang may still be active, so the sum can exceed the number of tasks.
--- a/src/place/delivery_tracker.h
+++ b/src/place/delivery_tracker.h
@@ -13,7 +13,7 @@
  public:
   /// Something sent to the machine had no effect. `token` must not have been sent before; seeing it in a
   /// report ends the doubt.
-  void doubt(std::uint64_t token, Micros now) {
+  void mark_in_doubt(std::uint64_t token, Micros now) {
     if (doubt_token_ == 0) in_doubt_since_ = now;
     doubt_token_ = token;
   }
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -20,8 +20,8 @@
 // Time without any start of a job's tasks after which the leader looks for capacity in other shares, whose
 // machines take a while to drain, and after which the job may also use machines kept for GPU work. Both are
 // well below the 90 s that no job may wait while there is capacity for it.
-constexpr Micros kPassedOverAfter = 20 * kSecond;
-constexpr Micros kAnyRoomAfter = 50 * kSecond;
+constexpr Micros kStarvedAfter = 20 * kSecond;
+constexpr Micros kAcceptsAnyMachineAfter = 50 * kSecond;
 constexpr int kImageCached = 2;           // see image_availability()
 constexpr double kLongFetchSeconds = 10;  // more than preempted work loses
 constexpr double kFetchFraction = 0.25;   // of the objective for the start
@@ -155,7 +155,7 @@
   const std::uint32_t tasks = j.spec->shape == Shape::gang ? j.spec->tasks : 1;
   if (now < j.not_before || !placement_allowed(j) || !quota_.within_limit(j, tasks)) j.waiting_since = now;
   const Micros waited = now - std::max(j.ready, j.waiting_since);
-  j.passed_over = waited >= kPassedOverAfter, j.any_room = waited >= kAnyRoomAfter;
+  j.starved = waited >= kStarvedAfter, j.accepts_any_machine = waited >= kAcceptsAnyMachineAfter;
 }
 
 /// Collects the distinct properties of the machines that are not accounted for yet.
@@ -214,9 +214,9 @@
 /// Whether a task of the job fits into `free` on this machine and does not block a machine kept for GPU jobs.
 bool Placement::fits(const Job& j, const Machine& m, const Resources& free) const {
   // Machines for GPU jobs take other work only if it can be preempted at once: services, gangs and higher
-  // ranks would keep an expensive machine rented for a few CPUs. Jobs that have waited long (any_room) are
-  // exempt: where these were the only machines with capacity, they never ran.
-  if (j.spec->need.gpus == 0 && usable_by_gpu_jobs_[m.type_index] && !j.any_room &&
+  // ranks would keep an expensive machine rented for a few CPUs. Jobs that have waited long
+  // (accepts_any_machine) are exempt: where these were the only machines with capacity, they never ran.
+  if (j.spec->need.gpus == 0 && usable_by_gpu_jobs_[m.type_index] && !j.accepts_any_machine &&
       (j.rank > Rank::low || j.spec->shape != Shape::array))
     return false;
   return j.spec->need.fits_in(free);
@@ -340,13 +340,14 @@
     // A failed search holds for all jobs of the kind until there is more capacity, unless zones or machines
     // that only this job avoids have restricted it.
     const bool applies_to_kind = !j.spec->spread && !j.spec->one_zone && j.avoided_machines.empty() &&
-                                 candidates.zone < 0 && candidates.min_availability == 0 && !j.any_room;
+                                 candidates.zone < 0 && candidates.min_availability == 0 &&
+                                 !j.accepts_any_machine;
     auto& failed = j.kind->second.placement[static_cast<std::size_t>(j.rank)];
     auto& failed_cheap = j.kind->second.cheap_placement[static_cast<std::size_t>(j.rank)];
     const auto capacity_version = view_.capacity_version_for(j.kind->first);
     const bool known_to_fail = failed.covers(capacity_version, j.spec->need) ||
                                (cheap_only && failed_cheap.covers(capacity_version, j.spec->need));
-    if (known_to_fail && !j.any_room) return false;
+    if (known_to_fail && !j.accepts_any_machine) return false;
     find_candidates(j, candidates, now);
     const bool none_found = candidates.machines.empty();
     if (applies_to_kind && none_found) failed.record(capacity_version, j.spec->need);
@@ -414,12 +415,13 @@
   // machines searches fewer machines, so its failures are not recorded.
   auto& failed = j.kind->second.gang_placement[static_cast<std::size_t>(j.rank)];
   const auto capacity_version = view_.capacity_version_for(j.kind->first);
-  if (!j.any_room && failed.covers(capacity_version, j.spec->need, j.spec->tasks)) return false;
+  if (!j.accepts_any_machine && failed.covers(capacity_version, j.spec->need, j.spec->tasks)) return false;
   const auto zones = gang_zones(j, now, [&](const Machine& m) {
     return min_availability == 0 || image_availability(j, m) >= min_availability ? m.free : Resources{};
   });
   if (zones.empty()) {
-    if (j.avoided_machines.empty() && j.spot_only_until <= now && min_availability == 0 && !j.any_room)
+    if (j.avoided_machines.empty() && j.spot_only_until <= now && min_availability == 0 &&
+        !j.accepts_any_machine)
       failed.record(capacity_version, j.spec->need, j.spec->tasks);
     return false;
   }
@@ -651,7 +653,7 @@
     };
     // Production jobs preempt lower ranks rather than stay on an expensive machine. Jobs that end soon use
     // expensive machines that are rented anyway, since preempted work is lost.
-    const bool may_displace =
+    const bool may_preempt =
         effective_rank(*j, now) >= Rank::high || (view_.rebuilt && quota_.within_guarantee(*j));
     const bool is_production = j->rank == Rank::production;
     // Preempts for up to eight waiting tasks. Returns `started` if anything was preempted now, `pending` if
@@ -666,7 +668,7 @@
     if (prefers_cached_image(*j) &&
         (place(is_production, kImageCached) || preempt(kImageCached) != Preemption::none))
       continue;
-    if (place(is_production) || !may_displace) continue;
+    if (place(is_production) || !may_preempt) continue;
     const bool preempting = preempt(0) == Preemption::started;
     if (!preempting && is_production && !waits_for_non_gpu_machine(*j, now)) place(false);
   }
--- a/src/share/cancellation_broadcast.cpp
+++ b/src/share/cancellation_broadcast.cpp
@@ -60,7 +60,7 @@
   return notice;
 }
 
-bool CancellationBroadcast::heard(const CancelNotice& notice) {
+bool CancellationBroadcast::receive(const CancelNotice& notice) {
   Peer& p = peers_[notice.node];
   if (p.incarnation != notice.incarnation) p.incarnation = notice.incarnation, p.received = 0;
   if (notice.after_number > p.received) return false;  // some before this notice are missing
--- a/src/share/cancellation_broadcast.h
+++ b/src/share/cancellation_broadcast.h
@@ -48,7 +48,7 @@
   // ---- cancellations of the peers
   /// Records a notice. Returns true if all cancellations of its sender up to `last_number` are now known,
   /// false if earlier ones are missing; the jobs in it are cancelled in either case.
-  bool heard(const CancelNotice& notice);
+  bool receive(const CancelNotice& notice);
   /// The number up to which all cancellations of this process of the peer were received.
   std::uint64_t received_up_to(const std::string& peer, std::uint64_t incarnation) const;
 
--- a/src/share/heartbeat_tracker.cpp
+++ b/src/share/heartbeat_tracker.cpp
@@ -20,7 +20,7 @@
   return b;
 }
 
-HeartbeatTracker::Reception HeartbeatTracker::heard(const Heartbeat& b, Micros now) {
+HeartbeatTracker::Reception HeartbeatTracker::receive(const Heartbeat& b, Micros now) {
   Reception out;
   heartbeat_readers_.insert(b.node);
   Peer& p = peers_[b.node];
--- a/src/share/heartbeat_tracker.h
+++ b/src/share/heartbeat_tracker.h
@@ -32,7 +32,7 @@
     bool reply_needed = false;  // the sender has no timestamp of this process yet: send it a heartbeat now
   };
   /// Takes in a heartbeat of a peer that arrived at `now`.
-  Reception heard(const Heartbeat& heartbeat, Micros now);
+  Reception receive(const Heartbeat& heartbeat, Micros now);
 
   /// Notes from a gossip frame whether its sender's version reads heartbeats. Returns true if the sender's
   /// state in the frame counts as of its arrival, which holds only for the previous version.
--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -115,7 +115,7 @@
 /// this bound plus a worker's lease fit into the time allowed for a cancellation, so one that the owner
 /// missed still takes effect in time. A valid lease does not show when records were read.
 bool Ownership::records_fresh_for_renewal(Micros now) const {
-  return now - records_read_at_ < kOwnerLeaseDuration + kCancelDeadlineMargin + max_unconfirmed_renewal();
+  return now - records_as_of_ < kOwnerLeaseDuration + kCancelDeadlineMargin + max_unconfirmed_renewal();
 }
 
 /// Why a peer that lacks the state service too does not confirm that we may continue; null if it does. An
@@ -128,7 +128,7 @@
   if (s >= peer.highest_epochs.size()) return "runs an older version that reports no owner epochs";
   if (peer.highest_epochs[s] > key->epoch) return "knows an owner key with a higher epoch";
   if (!peer.all_cancellations_known) return "may have confirmed cancellations that we have not received";
-  if (peer.alive_since > std::min(lease_confirmed_at_, records_read_at_))
+  if (peer.alive_since > std::min(lease_confirmed_at_, records_as_of_))
     return "started after the state service last served us";
   return nullptr;
 }
@@ -223,7 +223,7 @@
                       [&](const auto& p) { return now - p.second.reported_at < kPeerReportMaxAge; });
 }
 
-std::vector<int> Ownership::shares_to_take(Micros now) const {
+std::vector<int> Ownership::shares_to_acquire(Micros now) const {
   std::vector<int> out;
   if (!lease_valid(now)) return out;
   for (int s = 0; s < share_count(); ++s) {
@@ -247,7 +247,7 @@
   return out;
 }
 
-bool Ownership::take_leader(Micros now) const {
+bool Ownership::should_acquire_leadership(Micros now) const {
   return !leader_ && lease_valid(now) && now - no_leader_since_ >= home_share_ * kSecond / 4;
 }
 
--- a/src/share/ownership.h
+++ b/src/share/ownership.h
@@ -65,8 +65,8 @@
   /// certain, and the data that the action is based on (`known_as_of`) must be younger than kMaxRecordsAge:
   /// after a pause a renewed lease alone does not show what happened during the pause.
   place::StartRefusal action_refusal(Micros now, Micros known_as_of) const;
-  /// All job records are known as they were at `sent` or later.
-  void records_read(Micros sent) { records_read_at_ = std::max(records_read_at_, sent); }
+  /// All job records are known as of `as_of` or later.
+  void set_records_as_of(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
 
   // ---- keys read from the state service
   void owner_set(int share, const OwnerKey& key, Micros now);
@@ -116,9 +116,9 @@
   bool isolated(Micros now) const;
 
   /// The shares without an owner that this node should try to take now.
-  std::vector<int> shares_to_take(Micros now) const;
+  std::vector<int> shares_to_acquire(Micros now) const;
   /// Whether this node should try to take the leader key now.
-  bool take_leader(Micros now) const;
+  bool should_acquire_leadership(Micros now) const;
   /// A share that we own and whose home node has been ready for long enough to take it back.
   std::optional<int> share_to_hand_back(Micros now);
 
@@ -151,7 +151,7 @@
   Micros lease_valid_until_ = 0, started_at_ = 0;  // started_at_: when the first lease was requested
   Micros last_lease_valid_until_ = 0;  // like lease_valid_until_, but kept after the lease is lost
   // When the state service last confirmed our lease, and as of when all job records were last read.
-  Micros lease_confirmed_at_ = 0, records_read_at_ = 0;
+  Micros lease_confirmed_at_ = 0, records_as_of_ = 0;
   std::map<int, OwnerKey> owners_;
   std::map<int, Micros> unowned_since_;
   // By share: those that may still renew workers' leases.
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -111,7 +111,7 @@
       w.num<std::uint8_t>(
           static_cast<std::uint8_t>(m.usable | m.empty << 1 | m.worker_lost << 2 | m.suspect << 3));
       w.num<std::uint32_t>(m.idle_ms);
-      w.num<std::uint8_t>(static_cast<std::uint8_t>(m.top_rank));
+      w.num<std::uint8_t>(static_cast<std::uint8_t>(m.highest_rank));
     }
   }
 }
@@ -157,7 +157,7 @@
       m.idle_ms = r.num<std::uint32_t>();
       const auto top = r.num<std::uint8_t>();
       if (top > 3) throw BadFrame("rank of a machine out of range");
-      m.top_rank = static_cast<wire::Rank>(top);
+      m.highest_rank = static_cast<wire::Rank>(top);
       s.machines.push_back(std::move(m));
     }
     g.shares.push_back(std::move(s));
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -122,30 +122,30 @@
   j->accepted_since_takeover = fresh;
   note_gpu_job(*record.spec);
   j->done = DoneSet(record.spec->tasks);
-  j->recorded = j->recorded_whole = j->done;
+  j->recorded = j->recorded_in_chunks = j->done;
   Job& known = *view_.jobs.emplace(id, std::move(j)).first->second;
   ++view_.change_count;
   const auto rows = rows_of_unplanned_jobs_.extract(id);
   if (rows)
-    for (const auto& [row, read] : rows.mapped()) load_done(id, row, read.text, read.version);
+    for (const auto& [row, read] : rows.mapped()) load_progress_row(id, row, read.text, read.version);
   // This must come before any of its tasks can be placed: machines may already have reported that some of
   // them are running or done.
   attribute_to_job(known, now);
 }
 
-void ShareController::set_priority_and_deadline(const std::string& id, const job::SchedulingGoals& course,
-                                                Micros now, Micros time_of_day) {
+void ShareController::set_scheduling_goals(const std::string& id, const job::SchedulingGoals& goals,
+                                           Micros now, Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
   ++view_.change_count;
-  if (j.rank != course.rank) {
-    j.rank = course.rank;
+  if (j.rank != goals.rank) {
+    j.rank = goals.rank;
     for (const auto& [index, m] : j.active) m->task_summary_stale = true;
   }
-  j.ready = std::max(j.submitted, now - std::max<Micros>(0, time_of_day - course.ready));
+  j.ready = std::max(j.submitted, now - std::max<Micros>(0, time_of_day - goals.ready));
   j.finish_by.reset();
-  if (course.finish_by) j.finish_by = now + (*course.finish_by - time_of_day);
+  if (goals.finish_by) j.finish_by = now + (*goals.finish_by - time_of_day);
 }
 
 void ShareController::finish_loading(Micros now) {
@@ -153,7 +153,7 @@
   update_rebuilt(now);
 }
 
-void ShareController::on_machine_record(const MachineRecord& record, bool handed_empty, Micros now) {
+void ShareController::on_machine_record(const MachineRecord& record, bool was_empty, Micros now) {
   const bool added = !view_.machines.contains(record.id);
   Machine& m = view_.add_machine(record);
   if (!added) return;
@@ -163,8 +163,8 @@
   // A machine recorded before the takeover may hold any attempt until it reports under our token, or until
   // the lease that a former owner could last have renewed has expired. A machine that joins later was empty
   // when it was handed over.
-  m.handed_over_empty = handed_empty;
-  m.lease_expires_at = latest_lease_end(handed_empty ? now : std::max(now, renewable_until_));
+  m.handed_over_empty = was_empty;
+  m.lease_expires_at = latest_lease_end(was_empty ? now : std::max(now, renewable_until_));
   m.idle_since = now;
   m.gpu_idle_since = now;
   m.neuron = placement_.rnn().add_machine(record.id);
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -63,7 +63,7 @@
   bool worker_lost = false;  // its lease expired, or messages don't reach its worker for longer than a lease
   bool suspect = false;
   std::uint32_t idle_ms = 0;
-  wire::Rank top_rank = wire::Rank::low;  // highest rank among its tasks
+  wire::Rank highest_rank = wire::Rank::low;  // highest rank among its tasks
 };
 
 struct ShareControllerSettings {
@@ -100,13 +100,14 @@
   /// Notes which machine types the GPU tasks of a job can use. Called for the jobs of all shares.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
   /// Sets a job's effective priority and deadline, which also depend on the jobs that wait for it.
-  void set_priority_and_deadline(const std::string& id, const job::SchedulingGoals& course, Micros now,
-                                 Micros time_of_day);
+  void set_scheduling_goals(const std::string& id, const job::SchedulingGoals& goals, Micros now,
+                            Micros time_of_day);
   /// All job records are known as of `as_of` or later: a job without a record by then was not accepted
   /// before `as_of`.
-  void records_read(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
-  /// Takes in a progress row (finished tasks) that a former owner wrote. `row`: see DoneWrite::row.
-  void load_done(const std::string& job, std::uint32_t row, const std::string& text, std::uint64_t version);
+  void set_records_as_of(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
+  /// Takes in a progress row (finished tasks) that a former owner wrote. `row`: see ProgressWrite::row.
+  void load_progress_row(const std::string& job, std::uint32_t row, const std::string& text,
+                         std::uint64_t version);
   /// Set when all controllers read rows of single units, so that workers may forget results that are recorded
   /// only in such rows.
   void set_all_controllers_read_units(bool on) { all_controllers_read_units_ = on; }
@@ -114,7 +115,7 @@
   void finish_loading(Micros now);
   /// Takes in the record of a machine of this share. `handed_over_empty`: the record was written after the
   /// takeover, so the machine was empty when it joined the share.
-  void on_machine_record(const MachineRecord& record, bool handed_empty, Micros now);
+  void on_machine_record(const MachineRecord& record, bool was_empty, Micros now);
   /// The machine's record was deleted or names another share.
   void on_machine_removed(const std::string& id, Micros now);
 
@@ -140,7 +141,7 @@
   /// Outcome of a push. `status`: 200 if the worker executed the orders, 409 if it refused the push; both
   /// come with the worker's report. Anything else: no valid answer arrived, and the orders may still be
   /// executed.
-  void pushed(const std::string& machine, int status, const wire::WorkerReport* report, Micros now);
+  void on_push_result(const std::string& machine, int status, const wire::WorkerReport* report, Micros now);
 
   /// Handles expired worker leases, placement and preemption. Returns true if the placement pass was long and
   /// stopped before its end; call it again soon, after other pending work (leases, reports).
@@ -149,15 +150,16 @@
   // ---- progress rows in the state service
 
   /// A write of a progress row, which lists finished tasks of a job.
-  struct DoneWrite {
+  struct ProgressWrite {
     std::string job;
     std::uint32_t row = 0;  // a chunk, or kFirstUnitRow plus a unit
     std::string text;
     std::uint64_t version = 0;  // the write's guard: the row's version as last seen
   };
   /// Returns the rows to write now, at most `max_writes`, and marks them as in flight. Rows that keep
-  /// machines from leaving the share come first. The caller must pass each outcome to on_done_write_result().
-  std::vector<DoneWrite> take_done_writes(std::size_t max_writes, Micros now = 0);
+  /// machines from leaving the share come first. The caller must pass each outcome to
+  /// on_progress_write_result().
+  std::vector<ProgressWrite> take_progress_writes(std::size_t max_writes, Micros now = 0);
   /// Row numbers below this are chunks, those from it on are single units.
   static constexpr std::uint32_t kFirstUnitRow = 1U << 16;
   /// After this many consecutive lost pushes, tasks are started only in answers to reports, until a push
@@ -169,11 +171,11 @@
   static std::string row_name(std::uint32_t row);
   static std::optional<std::pair<std::string, std::uint32_t>> parse_row_name(const std::string& name);
   /// `version`: the row's version after the write, or as found if the write failed.
-  void on_done_write_result(const DoneWrite& w, bool ok, std::uint64_t version);
+  void on_progress_write_result(const ProgressWrite& w, bool ok, std::uint64_t version);
   /// Jobs with all tasks done whose final status is not being committed yet.
   std::vector<std::string> jobs_to_commit() const;
   /// Names of the job's existing progress rows, with the job's id in front.
-  std::vector<std::string> done_row_keys(const std::string& job) const;
+  std::vector<std::string> progress_row_names(const std::string& job) const;
   /// Whether the job's final status is being committed; nothing of the job is placed meanwhile.
   void set_committing(const std::string& job, bool on);
 
@@ -264,7 +266,7 @@
   std::uint64_t current_token(const Machine& m) const;
   bool apply_report(Machine& m, const wire::WorkerReport& r, bool own_report, Micros now);
   void drop_all_attempts(Machine& m, Micros now, FreeReason why);
-  void doubt_delivery(Machine& m, Micros now, const char* why);
+  void mark_delivery_in_doubt(Machine& m, Micros now, const char* why);
   void on_task_succeeded(Job& j, Machine& m, const TaskAttempt& p, Micros now);
   void on_task_failed(Job& j, Machine& m, Micros now);
   /// What the job records say about a job that a machine reports.
@@ -305,7 +307,7 @@
     std::set<std::uint32_t> units;  // that those machines' results belong to
   };
   std::map<std::string, WriteUrgency> write_urgency_by_job(Micros now) const;
-  void append_row_write(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out);
+  void append_row_write(Job& j, std::uint32_t unit, std::vector<ProgressWrite>& out);
 
   const wire::PlatformSettings& platform_;
   const std::vector<wire::MachineType>& types_;
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -42,7 +42,7 @@
 std::vector<Order> ShareController::take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
                                                 StartRefusal owner_refusal, Micros now) {
   std::vector<Order> out;
-  bool launches = false;
+  bool has_starts = false;
   for (auto it = m.tasks.begin(); it != m.tasks.end() && out.size() < kMaxOrdersPerAnswer;) {
     auto current = it++;
     TaskAttempt& p = current->second;
@@ -60,7 +60,7 @@
     p.sent_by_push = by_push;
     p.answer_seq = answer_seq;
     p.started_at = now;
-    launches = true;
+    has_starts = true;
     out.push_back({Order::Verb::launch, p.job_id, p.index, p.attempt, 0});
     spdlog::debug("starting {}/{} try {} on {}, session {}, token {}, by {}", p.job_id, p.index, p.attempt,
                   m.record.id, m.session, current_token(m), by_push ? "push" : "answer");
@@ -71,7 +71,7 @@
   // has forgotten. So forget orders are sent under a higher token than any pushed start. They are not sent
   // while a push is in flight, because the worker would refuse that push; the next report lists the same
   // results again.
-  const bool needs_fence = m.launch_token == current_token(m);
+  const bool needs_fence = m.start_push_token == current_token(m);
   if (!m.pending_forgets.empty() && !(needs_fence && m.push_in_flight)) {
     if (needs_fence) ++m.token_offset;
     for (const auto& f : m.pending_forgets) {
@@ -80,7 +80,7 @@
     }
   }
   m.pending_forgets.clear();
-  if (launches && by_push) m.launch_token = current_token(m);
+  if (has_starts && by_push) m.start_push_token = current_token(m);
   return out;
 }
 
@@ -116,7 +116,8 @@
   return out;
 }
 
-void ShareController::pushed(const std::string& machine, int status, const WorkerReport* report, Micros now) {
+void ShareController::on_push_result(const std::string& machine, int status, const WorkerReport* report,
+                                     Micros now) {
   auto it = view_.machines.find(machine);
   if (it == view_.machines.end()) return;
   Machine& m = it->second;
@@ -143,7 +144,7 @@
   // pushed attempts count as being on the machine. Only the first of several lost pushes puts the machine in
   // doubt: if pushes never arrive, the reports since then have shown whether answers do.
   if (lost_before == 0)
-    doubt_delivery(m, now, "a push got no answer");
+    mark_delivery_in_doubt(m, now, "a push got no answer");
   else
     ++m.token_offset;
   const Micros longest = std::max(kPushRetryDelay, kMaxPushRetryReportIntervals * platform_.report);
--- a/src/share/share_controller_progress.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -13,12 +13,12 @@
     j.recorded.merge_unit(row - kFirstUnitRow, text);
   } else {
     j.recorded.merge_chunk(row, text);
-    j.recorded_whole.merge_chunk(row, text);
+    j.recorded_in_chunks.merge_chunk(row, text);
   }
 }
 
-void ShareController::load_done(const std::string& job, std::uint32_t row, const std::string& text,
-                                std::uint64_t version) {
+void ShareController::load_progress_row(const std::string& job, std::uint32_t row, const std::string& text,
+                                        std::uint64_t version) {
   auto it = view_.jobs.find(job);
   if (it == view_.jobs.end()) {
     // The job's record may not have arrived yet, or the job seems to wait for others because the known
@@ -41,9 +41,9 @@
 /// results are lost with it; an empty machine has to be paid for until its results are recorded. After that,
 /// jobs with the most unrecorded results come first; in the order of their names, some jobs would never get a
 /// turn.
-std::vector<ShareController::DoneWrite> ShareController::take_done_writes(std::size_t max_writes,
-                                                                          Micros now) {
-  std::vector<DoneWrite> out;
+std::vector<ShareController::ProgressWrite> ShareController::take_progress_writes(std::size_t max_writes,
+                                                                                  Micros now) {
+  std::vector<ProgressWrite> out;
   if (max_writes == 0) return out;
   std::vector<std::pair<Job*, WriteUrgency*>> dirty;
   for (auto& [id, j] : view_.jobs)
@@ -71,7 +71,7 @@
 }
 
 /// Appends a write of the row that holds the unit, unless a write of that row is in flight.
-void ShareController::append_row_write(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out) {
+void ShareController::append_row_write(Job& j, std::uint32_t unit, std::vector<ProgressWrite>& out) {
   // A whole chunk is written as long as its text fits into one value, because all versions read chunk rows.
   // After that, each unit gets its own row and the chunk's row is left as it is: shortening it would lose the
   // results that only it records.
@@ -90,7 +90,7 @@
 
 /// Returns whether every controller that may take over the share would read that the task is done.
 bool ShareController::durably_recorded(const Job& j, std::uint32_t index) const {
-  return j.recorded_whole.test(index) || (all_controllers_read_units_ && j.recorded.test(index));
+  return j.recorded_in_chunks.test(index) || (all_controllers_read_units_ && j.recorded.test(index));
 }
 
 std::string ShareController::row_name(std::uint32_t row) {
@@ -111,7 +111,7 @@
   return std::pair{name.substr(0, slash - 2), n + kFirstUnitRow};
 }
 
-void ShareController::on_done_write_result(const DoneWrite& w, bool ok, std::uint64_t version) {
+void ShareController::on_progress_write_result(const ProgressWrite& w, bool ok, std::uint64_t version) {
   auto it = view_.jobs.find(w.job);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
@@ -133,7 +133,7 @@
   return out;
 }
 
-std::vector<std::string> ShareController::done_row_keys(const std::string& job) const {
+std::vector<std::string> ShareController::progress_row_names(const std::string& job) const {
   std::vector<std::string> out;
   auto it = view_.jobs.find(job);
   if (it == view_.jobs.end()) return out;
--- a/src/share/share_controller_queries.cpp
+++ b/src/share/share_controller_queries.cpp
@@ -36,7 +36,7 @@
 std::vector<Demand> ShareController::demands(Micros now) const {
   std::vector<Demand> out;
   for (Job* j : placement_.ordered_jobs(now)) {
-    if (out.size() >= kMaxDemands && !(j->passed_over && out.size() < kMaxDemands + kMaxExtraStarvedDemands))
+    if (out.size() >= kMaxDemands && !(j->starved && out.size() < kMaxDemands + kMaxExtraStarvedDemands))
       continue;
     std::int64_t waiting = j->waiting();
     const wire::Team* t = placement_.quota().team(j->spec->team);
@@ -77,7 +77,7 @@
         static_cast<std::uint32_t>(std::clamp(place::Placement::expected_run_seconds(*j) * 1000, 0.0, 3.6e6));
     d.one_zone = j->spec->one_zone;
     d.excludes_gpu_machines = placement_.waits_for_non_gpu_machine(*j, now);
-    d.starved = j->passed_over, d.accepts_any_machine = j->any_room;
+    d.starved = j->starved, d.accepts_any_machine = j->accepts_any_machine;
     // Services with the same requirements are merged into one demand: ninety waiting services would otherwise
     // fill the list, and the leader would not learn of the rest.
     if (d.shape == wire::Shape::service) {
@@ -133,7 +133,7 @@
                                         : static_cast<std::uint32_t>(std::clamp<Micros>(
                                               (now - m.gpu_idle_since) / kMillisecond, 0, 3'600'000));
     }
-    s.top_rank = m.task_summary().highest_rank;
+    s.highest_rank = m.task_summary().highest_rank;
     out.push_back(std::move(s));
   }
   return out;
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -73,7 +73,7 @@
     // began later.
     if (m.accounted_for) m.lease_expires_at = std::max(m.lease_expires_at, latest_lease_end(now));
     // A session ends when no answer arrives for the length of a lease, but answers were sent in that time.
-    if (answers_lost) doubt_delivery(m, now, "its session ended although answers were sent");
+    if (answers_lost) mark_delivery_in_doubt(m, now, "its session ended although answers were sent");
     m.own_report_seq = 0;
   }
   m.session = r.session;
@@ -142,7 +142,7 @@
       view_.free_attempt(m, current, now,
                          placed.fence_token != 0 ? FreeReason::fenced : FreeReason::not_listed);
   }
-  if (answers_lost) doubt_delivery(m, now, "an answer did not arrive");
+  if (answers_lost) mark_delivery_in_doubt(m, now, "an answer did not arrive");
   if (!m.accounted_for && r.token >= min_token(m)) {
     m.accounted_for = true;
     m.lease_expires_at =
@@ -260,10 +260,10 @@
 /// The machine's reports arrive, but our messages to it seem to get lost. Raises its token, so that a report
 /// which shows the new token proves that a message has arrived. Until then nothing is placed on the machine,
 /// and attempts whose orders were not sent yet are placed elsewhere.
-void ShareController::doubt_delivery(Machine& m, Micros now, const char* why) {
+void ShareController::mark_delivery_in_doubt(Machine& m, Micros now, const char* why) {
   ++m.token_offset;
   if (!m.delivery.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
-  m.delivery.doubt(current_token(m), now);
+  m.delivery.mark_in_doubt(current_token(m), now);
   view_.machines_to_contact.insert(&m);  // push to it at once, to get a report
   for (auto it = m.tasks.begin(); it != m.tasks.end();) {
     auto current = it++;
--- a/tests/attribution_test.cpp
+++ b/tests/attribution_test.cpp
@@ -45,16 +45,17 @@
   EXPECT_EQ(owner.task_counts("j-1")->first, 1U);
   EXPECT_EQ(owner.describe_attempts().size(), 1U);  // task 1
   EXPECT_EQ(owner.attribution_counts().attributed_results, 1U);
-  EXPECT_EQ(owner.take_done_writes(10, now).size(), 1U);  // and it is recorded
+  EXPECT_EQ(owner.take_progress_writes(10, now).size(), 1U);  // and it is recorded
 }
 
 // A successor reads the rows of its share while the record of a job is still on its way to it.
 // What happened: the row was dropped, tasks that are done were started again, and the row that recorded them
-// was written anew without them. Why: load_done took a job that it didn't know for one that there isn't.
+// was written anew without them. Why: load_progress_row took a job that it didn't know for one that there
+// isn't.
 TEST_F(AttributionTest, RowsThatAreReadBeforeTheirJobIsKnownCount) {
   job::DoneSet recorded(3);
   recorded.set(0), recorded.set(1);
-  owner.load_done("j-1", 0, recorded.chunk_text(0), 7);
+  owner.load_progress_row("j-1", 0, recorded.chunk_text(0), 7);
   report("i-1", {});
   report("i-2", {});
   accept("j-1", 3);
@@ -63,7 +64,7 @@
   EXPECT_EQ(owner.describe_attempts().size(), 1U);  // task 2
   report("i-1", {done("j-1", 2)});
   EXPECT_EQ(owner.jobs_to_commit().size(), 1U);
-  EXPECT_EQ(owner.done_row_keys("j-1"), (std::vector<std::string>{"j-1/0"}));
+  EXPECT_EQ(owner.progress_row_names("j-1"), (std::vector<std::string>{"j-1/0"}));
 }
 
 // The answers to pushes are reports too.
@@ -74,7 +75,7 @@
   answer.machine = "i-1", answer.address = "127.0.0.1:9", answer.type = "cpu8", answer.zone = "z1";
   answer.session = 1, answer.seq = ++seq, answer.token = kEpoch << place::kEpochShift;
   answer.tasks = {running("j-1", 0), done("j-1", 1)};
-  owner.pushed("i-1", 409, &answer, now);
+  owner.on_push_result("i-1", 409, &answer, now);
   accept("j-1", 2);
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
@@ -113,13 +114,13 @@
   report("i-2", {});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-2", 0)}).empty());
   const Micros reported = now;
-  owner.records_read(reported);
+  owner.set_records_as_of(reported);
   now += kSecond;
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-2", 0)}).empty());
   EXPECT_FALSE(owner.rebuilt());
-  owner.records_read(reported + 1);
+  owner.set_records_as_of(reported + 1);
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 halting"});
   EXPECT_TRUE(owner.rebuilt());
@@ -133,7 +134,7 @@
   records["j-1"] = {};
   report("i-2", {});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-1", 1)}).empty());
-  owner.records_read(now + 1);
+  owner.set_records_as_of(now + 1);
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-1", 1)}).empty());
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -22,7 +22,7 @@
   a.add("j-2", 99);  // b has read its record
   a.add("j-3", 102);
   for (int i = 0; i < 2; ++i) EXPECT_EQ(ids(a.message_for("b")), (std::vector<std::string>{"j-1", "j-3"}));
-  EXPECT_TRUE(b.heard(*a.message_for("b")));
+  EXPECT_TRUE(b.receive(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 3U);
   a.set_peer_progress("b", 100, b.received_up_to("a", 11));
   EXPECT_FALSE(a.message_for("b"));
@@ -38,10 +38,10 @@
   a.add("j-1", 101);
   a.set_peer_progress("b", 100, 1);  // said by b's former process
   a.add("j-2", 102);
-  EXPECT_FALSE(b.heard(*a.message_for("b")));
+  EXPECT_FALSE(b.receive(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 0U);
   a.set_peer_progress("b", 100, b.received_up_to("a", 11));
-  EXPECT_TRUE(b.heard(*a.message_for("b")));
+  EXPECT_TRUE(b.receive(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 2U);
 }
 
@@ -52,8 +52,8 @@
   before.add("j-1", 101);
   before.add("j-2", 102);
   after.add("j-3", 103);
-  b.heard(*before.message_for("b"));
-  b.heard(*after.message_for("b"));
+  b.receive(*before.message_for("b"));
+  b.receive(*after.message_for("b"));
   EXPECT_EQ(b.received_up_to("a", 11), 0U);
   EXPECT_EQ(b.received_up_to("a", 12), 1U);
 }
@@ -67,7 +67,7 @@
   a.set_peer_progress("b", 110, 0);  // it has read those ten
   while (const auto tell = a.message_for("b")) {
     EXPECT_LE(encode(*tell).size(), kMaxFrameSize);
-    EXPECT_TRUE(b.heard(*tell));
+    EXPECT_TRUE(b.receive(*tell));
     a.set_peer_progress("b", 110, b.received_up_to("a", 11));
   }
   EXPECT_EQ(b.received_up_to("a", 11), a.highest_number());
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -132,9 +132,9 @@
       r.tasks.push_back({"j-000412", i, 1, wire::TaskState::exited, wire::Cause::done, false});
     return h.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
   }
-  static std::vector<share::ShareController::DoneWrite> write(share::ShareController& h) {
-    auto writes = h.take_done_writes(100);
-    for (const auto& w : writes) h.on_done_write_result(w, true, 3);
+  static std::vector<share::ShareController::ProgressWrite> write(share::ShareController& h) {
+    auto writes = h.take_progress_writes(100);
+    for (const auto& w : writes) h.on_progress_write_result(w, true, 3);
     return writes;
   }
 
@@ -166,20 +166,21 @@
   EXPECT_EQ(forgets(*h, 7900, 8300), 300U);  // as many as one answer takes
   // A successor finds all of them.
   auto successor = holder();
-  for (const auto& w : {first[0], rest[0], rest[1]}) successor->load_done("j-000412", w.row, w.text, 3);
+  for (const auto& w : {first[0], rest[0], rest[1]})
+    successor->load_progress_row("j-000412", w.row, w.text, 3);
   EXPECT_EQ(successor->task_counts("j-000412")->first, 700U);
 }
 
 TEST_F(ManyTasks, AnOlderVersionsLongRowIsNeverShortened) {
   auto h = holder();
-  h->load_done("j-000412", 0, std::string(4000, 'f'), 9);
+  h->load_progress_row("j-000412", 0, std::string(4000, 'f'), 9);
   h->finish_loading(0);
   EXPECT_EQ(forgets(*h, 0, 10), 10U);
   forgets(*h, 16'100, 16'200);
   const auto writes = write(*h);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(share::ShareController::row_name(writes[0].row), "u/7");
-  EXPECT_EQ(h->done_row_keys("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
+  EXPECT_EQ(h->progress_row_names("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
 }
 
 TEST(Compatibility, RowsOfUnitsAreNoRowsToAnOlderVersion) {
--- a/tests/held_results_test.cpp
+++ b/tests/held_results_test.cpp
@@ -22,15 +22,15 @@
   EXPECT_EQ(owner.held_results(now + kSecond).results, 1U);
   EXPECT_EQ(owner.held_results(now + kSecond).oldest_age, kSecond);
   // The answer of the commit is lost: executed or not, nothing is recorded as far as we know.
-  auto writes = owner.take_done_writes(10, now);
+  auto writes = owner.take_progress_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_FALSE(owner.release("i-1", now));  // on its way
-  owner.on_done_write_result(writes[0], false, 5);
+  owner.on_progress_write_result(writes[0], false, 5);
   EXPECT_FALSE(owner.release("i-1", now));
-  writes = owner.take_done_writes(10, now);
+  writes = owner.take_progress_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(writes[0].version, 5U);
-  owner.on_done_write_result(writes[0], true, 6);
+  owner.on_progress_write_result(writes[0], true, 6);
   EXPECT_TRUE(told_empty("i-1"));
   EXPECT_EQ(owner.drained_machines().size(), 1U);
   EXPECT_TRUE(owner.release("i-1", now));
@@ -72,7 +72,7 @@
   for (std::uint32_t i = 0; i < 50; ++i) tasks.push_back(done("j-1", i));
   report("i-1", tasks);
   auto next_row = [this] {
-    const auto writes = owner.take_done_writes(1, now);
+    const auto writes = owner.take_progress_writes(1, now);
     return writes.empty() ? "" : writes[0].job;
   };
   report("i-2", {done("j-2", 0)});
@@ -92,7 +92,7 @@
   for (std::uint32_t i = 0; i < 50; ++i) tasks.push_back(done("j-1", i));
   report("i-1", tasks);
   report("i-2", {done("j-2", 0)});
-  const auto first = owner.take_done_writes(1, now);
+  const auto first = owner.take_progress_writes(1, now);
   ASSERT_EQ(first.size(), 1U);
   EXPECT_EQ(first[0].job, "j-2");
 }
@@ -108,7 +108,7 @@
   now += 120 * kSecond;
   owner.tick(now, StartRefusal::records_stale);  // its lease has surely expired
   EXPECT_TRUE(owner.release("i-2", now));
-  ASSERT_EQ(owner.take_done_writes(10, now).size(), 1U);
+  ASSERT_EQ(owner.take_progress_writes(10, now).size(), 1U);
   EXPECT_EQ(owner.task_counts("j-1")->first, 2U);
 }
 
@@ -136,7 +136,7 @@
   accept("j-1", 5);
   report("i-1", {done("j-1", 0)});
   owner.tick(now, StartRefusal::records_stale);
-  owner.on_done_write_result(owner.take_done_writes(1, now).at(0), true, 5);
+  owner.on_progress_write_result(owner.take_progress_writes(1, now).at(0), true, 5);
   now += 3 * kSecond;
   owner.tick(now, StartRefusal::records_stale);
   EXPECT_EQ(owner.take_result_waits(), std::vector<Micros>{3 * kSecond});
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -57,7 +57,7 @@
 TEST_F(ProvisionerTest, ARefusedOfferIsNotAskedAgainAtOnce) {
   const std::vector<ShareReport> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
   const auto first = only<RentMachines>(provisioner_.tick(now_, said, records_));
-  provisioner_.rented(first[0], 503, {}, now_);
+  provisioner_.on_rent_result(first[0], 503, {}, now_);
   const auto second = only<RentMachines>(provisioner_.tick(now_, said, records_));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(second[0].zone + (second[0].spot ? "s" : ""), first[0].zone + (first[0].spot ? "s" : ""));
@@ -66,7 +66,7 @@
 TEST_F(ProvisionerTest, BootingMachinesCountAsRoomAndStragglersAreDeleted) {
   const std::vector<ShareReport> said{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
   const auto rent = only<RentMachines>(provisioner_.tick(now_, said, records_));
-  provisioner_.rented(rent[0], 200, {"i-000001"}, now_);
+  provisioner_.on_rent_result(rent[0], 200, {"i-000001"}, now_);
   EXPECT_TRUE(only<RentMachines>(provisioner_.tick(now_, said, records_)).empty());
   const auto late = only<DeleteMachines>(provisioner_.tick(now_ + 300 * kSecond, said, records_));
   ASSERT_EQ(late.size(), 1U);
@@ -82,7 +82,7 @@
     auto m = machine("i-00000" + std::to_string(i), 0, 0);
     m.empty = false;
     m.free.cpus -= wire::to_units(i < 5 ? 2 : 8);  // the later ones are full
-    if (i == 0) m.top_rank = wire::Rank::production;
+    if (i == 0) m.highest_rank = wire::Rank::production;
     rich.machines.push_back(m);
   }
   ShareReport poor{1, true, {demand(2, 500, true, wire::Rank::low)}, {}};
@@ -131,7 +131,8 @@
 }
 
 TEST_F(ProvisionerTest, MachinesOfAFormerLeaderAreFoundInTheList) {
-  provisioner_.listed({{"i-000009", "", "cpu8", "z1", "booting", true, 10 * kSecond}}, records_, now_);
+  provisioner_.on_machines_listed({{"i-000009", "", "cpu8", "z1", "booting", true, 10 * kSecond}}, records_,
+                                  now_);
   EXPECT_TRUE(only<RentMachines>(
                   provisioner_.tick(now_, {{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}}, records_))
                   .empty());
@@ -149,7 +150,7 @@
   d.shape = wire::Shape::gang, d.one_zone = true;
   for (const auto& t : types_)
     for (const auto& z : t.zones)
-      for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
+      for (const bool spot : {true, false}) provisioner_.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   d.type_mask = 1;
   const auto none = provisioner_.tick(now_, {idle, {1, true, {d}, {}}}, records_);
   EXPECT_TRUE(only<MoveMachine>(none).empty());
@@ -177,11 +178,11 @@
   share::Demand d = demand(1, 60, true, wire::Rank::low);
   d.slack_ms = 240'000;
   for (const auto& z : types_[0].zones)
-    for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
+    for (const bool spot : {true, false}) provisioner_.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   EXPECT_FALSE(only<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
   Provisioner other{platform_, types_, {}};
   for (const auto& z : types_[0].zones)
-    for (const bool spot : {true, false}) other.rented({0, z, spot, 1, -1}, 503, {}, now_);
+    for (const bool spot : {true, false}) other.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   d.running = 16;  // in 144 s these do it
   EXPECT_TRUE(only<RentMachines>(other.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
 }
@@ -197,7 +198,7 @@
   }
   said.demands[0].running = 16;
   for (const auto& z : types_[0].zones)
-    for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
+    for (const bool spot : {true, false}) provisioner_.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   EXPECT_TRUE(only<RentMachines>(provisioner_.tick(now_, {said}, records_)).empty());
 }
 
@@ -206,7 +207,8 @@
   d.shape = wire::Shape::service, d.slack_ms = 4'000;
   auto low = machine("i-000001", 0, 0);
   low.empty = false, low.free = {};
-  provisioner_.listed({{"i-000009", "", "cpu8", "z1", "booting", false, 2 * kSecond}}, records_, now_);
+  provisioner_.on_machines_listed({{"i-000009", "", "cpu8", "z1", "booting", false, 2 * kSecond}}, records_,
+                                  now_);
   const auto moves =
       only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {low}}, {1, true, {d}, {}}}, records_));
   ASSERT_EQ(moves.size(), 1U);
@@ -221,7 +223,7 @@
   auto plain = machine("i-000002", 0, 0);
   records_["i-000001"].type = records_["i-000002"].type = "gpu4";
   records_["i-000001"].spot = true;
-  spot.free = types_[1].total, plain.free = {}, plain.empty = false, plain.top_rank = wire::Rank::normal;
+  spot.free = types_[1].total, plain.free = {}, plain.empty = false, plain.highest_rank = wire::Rank::normal;
   provisioner_.tick(now_, {{0, true, {d}, {}}}, records_);  // learns that the type is wanted
   EXPECT_TRUE(only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot, plain}}}, records_)).empty());
   EXPECT_EQ(only<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot}}}, records_)).size(), 1U);
@@ -246,14 +248,14 @@
   records_["i-000003"].type = "gpu4";
   for (auto* m : {&busy, &busier, &gpu}) m->empty = false;
   busy.free.cpus = wire::to_units(6), busier.free.cpus = wire::to_units(3);
-  gpu.free = types_[1].total, gpu.free.gpus = wire::to_units(1), gpu.top_rank = wire::Rank::normal;
+  gpu.free = types_[1].total, gpu.free.gpus = wire::to_units(1), gpu.highest_rank = wire::Rank::normal;
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
   training.need.gpus = wire::to_units(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   const std::vector<share::MachineState> others{busy, busier, gpu};
   for (const auto& t : types_)
     for (const auto& z : t.zones)
       for (const bool spot : {false, true})
-        provisioner_.rented({t.name == "cpu8" ? 0U : 1U, z, spot, 1, 0}, 503, {}, now_);
+        provisioner_.on_rent_result({t.name == "cpu8" ? 0U : 1U, z, spot, 1, 0}, 503, {}, now_);
   auto moves = [&](Micros now) {
     return only<MoveMachine>(
         provisioner_.tick(now, {{0, true, {training}, others}, {1, true, {d}, {}}}, records_));
@@ -301,7 +303,7 @@
 TEST_F(ProvisionerTest, AMachineThatIsUpIsNoStraggler) {
   auto up = machine("i-000001", 0, 0);
   up.empty = false;
-  provisioner_.rented({0, "z1", false, 1, 0}, 200, {"i-000001"}, now_);
+  provisioner_.on_rent_result({0, "z1", false, 1, 0}, 200, {"i-000001"}, now_);
   EXPECT_TRUE(
       only<DeleteMachines>(provisioner_.tick(now_ + 300 * kSecond, {{0, true, {}, {up}}}, records_)).empty());
 }
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -169,7 +169,7 @@
       controller_->on_machine_record(m, key("empty", "no") == "yes", now_);
     } else if (event == "loaded") {
       for (std::size_t i = 0; i + 1 < words_.size(); i += 2)
-        controller_->load_done(words_[i], 0, words_[i + 1], 7);
+        controller_->load_progress_row(words_[i], 0, words_[i + 1], 7);
       controller_->finish_loading(now_);
       say_rebuilt();
     } else if (event == "report") {
@@ -195,16 +195,16 @@
     } else if (event == "pushed") {
       const int status = std::stoi(words_.at(1));
       const auto r = report(words_.at(0), 2);
-      controller_->pushed(words_.at(0), status, status ? &r : nullptr, now_);
+      controller_->on_push_result(words_.at(0), status, status ? &r : nullptr, now_);
       say_rebuilt();
     } else if (event == "where") {
       for (const auto& s : controller_->describe_attempts()) out_.push_back(s);
     } else if (event == "record") {
-      for (const auto& w : controller_->take_done_writes(10)) {
+      for (const auto& w : controller_->take_progress_writes(10)) {
         out_.push_back("write done " + w.job + " chunk " + ShareController::row_name(w.row) + " " + w.text +
                        " if version " + std::to_string(w.version));
-        controller_->on_done_write_result(w, key("ok", "yes") == "yes",
-                                          static_cast<std::uint64_t>(number("version", 8)));
+        controller_->on_progress_write_result(w, key("ok", "yes") == "yes",
+                                              static_cast<std::uint64_t>(number("version", 8)));
       }
       for (const auto& id : controller_->jobs_to_commit()) out_.push_back("complete " + id);
     } else if (event == "state") {  // as the leader is told
@@ -263,7 +263,7 @@
                      (c.finish_by ? ", by " + std::to_string((*c.finish_by - kWallClock) / kSecond) : ""));
       if (!controller_ || !graph_.is_ready(id)) continue;
       controller_->on_job_record(id, r, graph_.ready_version(id) > 100, now_, wall());
-      controller_->set_priority_and_deadline(id, c, now_, wall());
+      controller_->set_scheduling_goals(id, c, now_, wall());
     }
   }
 
@@ -292,10 +292,10 @@
     } else if (event == "began") {  // a new process of that peer
       peer_since_.erase(words_.at(0));
     } else if (event == "read") {
-      own_.records_read(now_);
+      own_.set_records_as_of(now_);
     } else if (event == "ask") {
       std::string take, back;
-      for (int s : own_.shares_to_take(now_)) take += " " + std::to_string(s);
+      for (int s : own_.shares_to_acquire(now_)) take += " " + std::to_string(s);
       if (auto b = own_.share_to_hand_back(now_)) back = std::to_string(*b);
       out_.push_back(std::string("lease ") + (own_.lease_valid(now_) ? "valid" : "not valid") + ", workers " +
                      (own_.may_renew_worker_leases(0, now_) ? "renewed" : "not renewed") +
@@ -318,10 +318,10 @@
         b.echo_incarnation = static_cast<std::uint64_t>(number("of", kIncarnation));
         b.echo_timestamp = static_cast<std::uint64_t>(kStart + from_seconds(number("echo", 0)));
       }
-      const auto heard = heartbeats_.heard(b, now_);
-      if (heard.state) own_.peer_reported(b.node, *heard.state);
-      if (heard.state) out_.push_back("said at " + seconds(heard.state->reported_at));
-      if (heard.reply_needed) out_.push_back("answer at once");
+      const auto reception = heartbeats_.receive(b, now_);
+      if (reception.state) own_.peer_reported(b.node, *reception.state);
+      if (reception.state) out_.push_back("said at " + seconds(reception.state->reported_at));
+      if (reception.reply_needed) out_.push_back("answer at once");
     } else if (event == "renewable") {
       out_.push_back("for " + std::to_string((renewable_until() - now_) / kSecond) + " s");
     } else if (event == "reading") {
