--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -127,16 +127,16 @@
   job::keep_usable_types(spec, deps_.records.types());
   submission->record.spec = std::make_shared<const wire::JobSpec>(std::move(spec));
   submission->record.submitted = deps_.loop.time_of_day();
-  check_needed_jobs(submission);
+  check_dependencies(submission);
 }
 
 /// Each needed job must have been accepted. A job that is not known here may just have been accepted by
 /// another node, so only the answer of the state service counts.
-void JobApi::check_needed_jobs(const std::shared_ptr<Submission>& submission) {
+void JobApi::check_dependencies(const std::shared_ptr<Submission>& submission) {
   static const std::string kNeedsServiceError = "a job cannot need a service, which is never done";
   const auto& needs = submission->record.spec->needs;
-  for (; submission->next_needed_job < needs.size(); ++submission->next_needed_job) {
-    const std::string& id = needs[submission->next_needed_job];
+  for (; submission->next_dependency < needs.size(); ++submission->next_dependency) {
+    const std::string& id = needs[submission->next_dependency];
     if (const auto* known = deps_.records.job(id)) {
       if (known->spec && known->spec->shape == wire::Shape::service)
         return reject(submission->exchange, 422, submission->record.spec->id, kNeedsServiceError);
@@ -158,8 +158,8 @@
             spdlog::error("cannot read job record {}: {}", id, e.what());
             return answer_retry(submission->exchange, "the job record cannot be read");
           }
-          ++submission->next_needed_job;
-          check_needed_jobs(submission);
+          ++submission->next_dependency;
+          check_dependencies(submission);
         });
     return;
   }
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -49,7 +49,7 @@
   struct Submission {
     net::ExchangePtr exchange;
     job::JobRecord record;
-    std::size_t next_needed_job = 0;
+    std::size_t next_dependency = 0;
     int lookups = 0;
     job::RecordRows rows;
     std::string tag;
@@ -61,7 +61,7 @@
     std::string job;
   };
 
-  void check_needed_jobs(const std::shared_ptr<Submission>& submission);
+  void check_dependencies(const std::shared_ptr<Submission>& submission);
   void accept(const std::shared_ptr<Submission>& submission);
   void write_record(const std::shared_ptr<Submission>& submission);
   void handle_duplicate(const std::shared_ptr<Submission>& submission);
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -137,7 +137,7 @@
     int share = 0;
     share::Demand demand;
     std::uint32_t remaining = 0, assigned = 0;
-    bool other_share_has_room = false;  // though the demand was passed over
+    bool other_share_has_capacity = false;  // though the demand was passed over
     std::map<std::string, std::uint32_t> assigned_by_zone;
   };
   /// The working state of one tick.
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -137,7 +137,7 @@
     for (auto& machine : plan.capacities)
       if (has_unused_capacity_for(machine, pending) && (!best || key(machine) < key(*best))) best = &machine;
     if (!best) return;
-    pending.other_share_has_room = true;
+    pending.other_share_has_capacity = true;
     const auto remaining_before = pending.remaining;
     drain_underused_machine(plan, *best, pending);
     if (assign_tasks(pending, *best) == 0) return;
--- a/src/fleet/provisioner_renting.cpp
+++ b/src/fleet/provisioner_renting.cpp
@@ -71,7 +71,7 @@
   const double target_seconds = expensive ? std::max(15.0, slack * settings_.slack_fraction)
                                           : std::clamp(slack * 0.5, 15.0, to_seconds(settings_.patience));
   double slots = std::ceil(backlog->second.task_seconds / target_seconds) - backlog->second.slots;
-  if (pending.other_share_has_room) slots = std::max(slots, 1.0);
+  if (pending.other_share_has_capacity) slots = std::max(slots, 1.0);
   return static_cast<std::uint32_t>(std::clamp(slots, 0.0, static_cast<double>(pending.remaining)));
 }
 
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -379,22 +379,22 @@
 }
 
 /// How many tasks of the job fit into `room` on this machine.
-std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources room) const {
-  if (!fits(j, m, room)) return 0;
-  return j.spec->need.times_in(room, j.spec->tasks);
+std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources capacity) const {
+  if (!fits(j, m, capacity)) return 0;
+  return j.spec->need.times_in(capacity, j.spec->tasks);
 }
 
-/// The zones in which the whole gang could start, if each machine has the capacity that `room_of` returns.
-/// The zone with the least to spare comes first, so that the others stay free for larger gangs. For a gang
-/// that is not bound to one zone: a single -1, or nothing.
+/// The zones in which the whole gang could start, if each machine has the capacity that `capacity_of`
+/// returns. The zone with the least to spare comes first, so that the others stay free for larger gangs. For
+/// a gang that is not bound to one zone: a single -1, or nothing.
 std::vector<int> Placement::gang_zones(const Job& j, Micros now,
-                                       const std::function<Resources(const Machine&)>& room_of) const {
+                                       const std::function<Resources(const Machine&)>& capacity_of) const {
   std::map<std::string, std::pair<int, std::int64_t>> by_name;
   for (const Machine* m : view_.machines_by_id)
     if (machine_allowed(j, *m, now) && (m->spot || j.spot_only_until <= now)) {
       auto& [zone, n] = by_name[j.spec->one_zone ? m->record.zone : ""];
       zone = j.spec->one_zone ? m->zone : -1;
-      n += task_slots(j, *m, room_of(*m));
+      n += task_slots(j, *m, capacity_of(*m));
     }
   std::vector<std::pair<std::int64_t, int>> found;
   for (const auto& [name, z] : by_name)
@@ -496,17 +496,17 @@
   auto& failed = j.kind->second.gang_preemption[static_cast<std::size_t>(j.rank)];
   if (failed.covers(view_.change_count, j.spec->need, j.spec->tasks)) return false;
   auto outranked = [&](const TaskAttempt& p) { return p.job && p.job->rank < j.rank; };
-  auto room_of = [&](const Machine& m) {
+  auto capacity_of = [&](const Machine& m) {
     if (min_availability > 0 && image_availability(j, m) < min_availability) return Resources{};
-    Resources room = m.free;
+    Resources capacity = m.free;
     if (const auto& summary = m.task_summary();
         !summary.halting && (!summary.any_stoppable || summary.lowest_stoppable_rank >= j.rank))
-      return room;
+      return capacity;
     for (const auto& [key, p] : m.tasks)
-      if (p.halting || outranked(p)) room += p.need;
-    return room;
+      if (p.halting || outranked(p)) capacity += p.need;
+    return capacity;
   };
-  const auto zones = gang_zones(j, now, room_of);
+  const auto zones = gang_zones(j, now, capacity_of);
   if (zones.empty()) {
     if (j.avoided_machines.empty() && j.spot_only_until <= now && min_availability == 0)
       failed.record(view_.change_count, j.spec->need, j.spec->tasks);
@@ -521,7 +521,7 @@
   for (Machine* machine : view_.machines_by_id) {
     Machine& m = *machine;
     if (!machine_allowed(j, m, now) || (j.spec->one_zone && m.zone != zones.front())) continue;
-    const auto n = task_slots(j, m, room_of(m));
+    const auto n = task_slots(j, m, capacity_of(m));
     double loss = 0;
     for (const auto& [key, p] : m.tasks)
       if (!p.halting && outranked(p))
--- a/src/place/placement.h
+++ b/src/place/placement.h
@@ -88,9 +88,9 @@
   void find_candidates(const Job& j, CandidateSet& candidates, Micros now) const;
   bool place_task(Job& j, std::uint32_t index, std::uint64_t attempt, bool cheap_only, Micros now,
                   CandidateSet& candidates);
-  std::int64_t task_slots(const Job& j, const Machine& m, Resources room) const;
+  std::int64_t task_slots(const Job& j, const Machine& m, Resources capacity) const;
   std::vector<int> gang_zones(const Job& j, Micros now,
-                              const std::function<Resources(const Machine&)>& room_of) const;
+                              const std::function<Resources(const Machine&)>& capacity_of) const;
   bool place_gang(Job& j, Micros now, int min_availability);
   bool preempt_for_gang(Job& j, Micros now, int min_availability);
   bool place_gang_or_preempt(Job& j, Micros now, int min_availability);
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -155,9 +155,9 @@
       const auto f = r.num<std::uint8_t>();
       m.usable = f & 1, m.empty = f & 2, m.worker_lost = f & 4, m.suspect = f & 8;
       m.idle_ms = r.num<std::uint32_t>();
-      const auto top = r.num<std::uint8_t>();
-      if (top > 3) throw BadFrame("rank of a machine out of range");
-      m.highest_rank = static_cast<wire::Rank>(top);
+      const auto machine_rank = r.num<std::uint8_t>();
+      if (machine_rank > 3) throw BadFrame("rank of a machine out of range");
+      m.highest_rank = static_cast<wire::Rank>(machine_rank);
       s.machines.push_back(std::move(m));
     }
     g.shares.push_back(std::move(s));
