--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -13,7 +13,7 @@
 namespace {
 constexpr Micros kPeerAnswerTimeout = 300 * kMillisecond;
 constexpr Micros kConfirmPollInterval = 10 * kMillisecond;
-constexpr int kMaxLookups = 32;  // of needed jobs that are not known here, for one submission
+constexpr int kMaxLookups = 32;  // of dependencies that are not known here, for one submission
 constexpr std::size_t kMaxCachedTaskCounts = 4096;  // entries; all are dropped when the cache is full
 constexpr int kMaxCancelAttempts = 3;               // attempts when the record is changed elsewhere meanwhile
 constexpr std::size_t kMaxTransactionBytes = 40'000;  // of parts; a transaction may take 64 KiB in all
@@ -62,14 +62,14 @@
 /// If the job is final, answers with that, now or soon, and returns true.
 bool JobApi::answer_if_final(const ExchangePtr& exchange, const std::string& id) {
   const auto* known = deps_.records.job(id);
-  // A job that needs a cancelled job is reported as cancelled as soon as that cancellation is known here; its
+  // A job that depends on a cancelled job is reported as cancelled as soon as that is known here; its
   // own record follows.
   const bool dependency_cancelled = deps_.records.graph().has_cancelled_dependency(id);
   if (!dependency_cancelled && !(known && known->final())) return false;
   task_counts_.erase(id);
   const JobStatus status = known && known->final() ? known->status : JobStatus::cancelled;
-  // A job that needs a cancelled job never had tasks. The owner of any other cancelled job may still start
-  // tasks of it until it knows of the cancellation.
+  // A job that depends on a cancelled job never had tasks. The owner of any other cancelled job may still
+  // start tasks of it until it knows of the cancellation.
   if (status == JobStatus::cancelled && !dependency_cancelled && !deps_.may_confirm_cancellation(id))
     confirm_cancellation(exchange, id, deps_.loop.now() + kPeerAnswerTimeout);
   else
@@ -130,7 +130,7 @@
   check_dependencies(submission);
 }
 
-/// Each needed job must have been accepted. A job that is not known here may just have been accepted by
+/// Each dependency must have been accepted. A job that is not known here may just have been accepted by
 /// another node, so only the answer of the state service counts.
 void JobApi::check_dependencies(const std::shared_ptr<Submission>& submission) {
   static const std::string kNeedsServiceError = "a job cannot need a service, which is never done";
@@ -244,7 +244,8 @@
   // A job that is not final here may have become so elsewhere, which only a fresh read can rule out. The read
   // covers all records at once and is shared by all requests that arrive meanwhile: with a read for each
   // poll, a node that served all users used more than its part of the request rate, and the users waited
-  // longer than they do now. A job that needs others may in any case be cancelled by a record far above it.
+  // longer than they do now. A job with dependencies may in any case be cancelled by the record of an
+  // indirect one.
   deps_.records.refresh_jobs([this, exchange, id](bool ok) {
     if (!ok) return answer_retry(exchange, "the state service is not available");
     const auto* known = deps_.records.job(id);
@@ -307,7 +308,7 @@
           return answer_retry(exchange, "the job record cannot be read");
         }
         if (record.final()) {
-          // A node that tells a user of a cancellation has to know it from then on, and to tell
+          // A node that reports a cancellation to a user must know it from then on, and report it to
           // its peers.
           deps_.records.update_job(id, std::move(record));
           deps_.records.publish_graph_changes();
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -1,5 +1,5 @@
-// User requests: submissions, status, cancellations. A user is told only of what is committed, and never of a
-// state older than one that any node may have told.
+// User requests: submissions, status, cancellations. A user is told only of committed states, and never of a
+// state older than one that any node may have reported.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -27,9 +27,9 @@
     share::PeerTransport& peers;
     Records& records;
     OwnedShares& owned_shares;
-    /// Tells the peers of a cancellation that this node has committed, ahead of the watch.
+    /// Notifies the peers of a cancellation that this node has committed, without waiting for their watch.
     std::function<void(const std::string& job)> announce_cancellation;
-    /// Users may be told that the job is cancelled.
+    /// Whether users may be told that the job is cancelled.
     std::function<bool(const std::string& job)> may_confirm_cancellation;
     std::function<void()> schedule_tick;
   };
@@ -45,7 +45,7 @@
   std::uint64_t request_count() const { return request_count_; }
 
  private:
-  /// A submission in progress: first the jobs that it needs are looked up, then its rows are written.
+  /// A submission in progress: first its dependencies are looked up, then its rows are written.
   struct Submission {
     net::ExchangePtr exchange;
     job::JobRecord record;
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -220,7 +220,7 @@
 
 void OwnedShares::job_updated(const std::string& id, const job::JobRecord& record) {
   for (auto& [share, owned] : owned_) {
-    // A job that waits for other jobs is not passed on yet.
+    // A job with open dependencies is not passed on yet.
     if (!record.final() && (!record.spec || !records().graph().is_ready(id))) continue;
     if (record.spec) owned.controller->note_gpu_job(*record.spec);
     if (!record.final() && ownership_.share_of_team(record.spec->team) != share) continue;
@@ -260,8 +260,8 @@
   return ownership_.action_refusal(deps_.loop.now(), deps_.store.watched_as_of());
 }
 
-/// Logs the age of the records and the remaining time of the lease: without them nobody could tell afterwards
-/// why a task start was allowed.
+/// Logs the age of the records and the remaining time of the lease: without them a log would not show why a
+/// task start was allowed.
 void OwnedShares::log_refusal_change(int share, OwnedShare& owned, place::StartRefusal refusal) {
   const Micros now = deps_.loop.now();
   if (refusal == place::StartRefusal::none)
--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -68,7 +68,7 @@
   void on_records_refreshed();
   /// Creates, removes and updates the controllers of the shares according to the current keys and records.
   void sync_controllers();
-  /// A job record, or what it waits for, has changed: passes it to the controllers that need it.
+  /// A job record, or the state of its dependencies, has changed: passes it to the controllers that need it.
   void job_updated(const std::string& id, const job::JobRecord& record);
 
   /// Called every 200 ms: renews the lease, and acquires or hands back shares.
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -31,7 +31,7 @@
     std::function<void(const share::StatusReply&)> status_received;
     std::function<void()> schedule_tick;
   };
-  /// `incarnation`: see share::Heartbeats.
+  /// `incarnation`: see share::HeartbeatTracker.
   PeerService(const wire::PlatformSettings& platform, std::uint64_t incarnation, Dependencies dependencies)
       : platform_(platform),
         deps_(std::move(dependencies)),
@@ -50,15 +50,15 @@
   void on_cancellation_known(const std::string& job, std::uint64_t revision);
   /// No owner of the job's share can start a task of this cancelled job any more, so users may be told.
   bool may_confirm_cancellation(const std::string& job);
-  /// This node has committed the cancellation: tells the peers ahead of the watch.
+  /// This node has committed the cancellation: notifies the peers without waiting for their watch.
   void broadcast_cancellation(const std::string& job);
   /// Dispatches a frame of a peer; `reply` sends a frame back to it.
   void handle_frame(const share::Frame& frame, const share::PeerTransport::Reply& reply);
   /// The states of all shares, as fresh as known here: of owned shares, and of others as reported recently.
   std::vector<share::ShareReport> all_share_states() const;
   /// All shares that have an owner were reported recently, or the other nodes have had the time to learn that
-  /// this node leads. A leader that knows only its own shares would rent machines that other shares have to
-  /// spare.
+  /// this node leads. A leader that knows only its own shares would rent machines that other
+  /// shares do not need.
   bool heard_from_all_shares() const;
   /// The node that recently reported to own the share; empty: none. For use while this node's own view of the
   /// keys may be outdated.
--- a/src/app/records.h
+++ b/src/app/records.h
@@ -1,5 +1,5 @@
 // A node's copy of the records in the state service: jobs (complete once all their parts were read), the
-// graph of jobs, machines, machine types, and the row formats that each node reads.
+// dependency graph of the jobs, machines, machine types, and the row formats that each node reads.
 #pragma once
 #include <functional>
 #include <map>
@@ -71,9 +71,10 @@
   void apply_peer_cancellation(const std::string& id, std::uint64_t revision);
   /// Adds a machine whose record this node has committed, unless the watch has reported it already.
   void add_machine(const share::MachineRecord& machine);
-  /// Calls `job_updated` for jobs that became ready and for jobs whose rank or deadline changed through the
-  /// jobs that need them.
+  /// Calls `job_updated` for jobs that became ready and for jobs whose rank or deadline changed through their
+  /// dependents.
   void publish_graph_changes();
+  /// Recomputes the latest finish times; publish_graph_changes() passes the changes on.
   void recompute_finish_times() { graph_.recompute_finish_times(); }
 
   // ---- reads and writes in the state service
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -155,7 +155,7 @@
           deps_.records.delete_parts(id, record);
           deps_.records.update_job(id, std::move(record));
           deps_.records.publish_graph_changes();
-          deps_.schedule_tick();  // jobs that waited for it can start at once
+          deps_.schedule_tick();  // its dependents can start at once
           return;
         }
         deps_.loop.later(kFinishRetryDelay, [this, share, generation, id] {
@@ -165,8 +165,8 @@
       });
 }
 
-/// Users are told at once that jobs which need a cancelled job are cancelled too. Their records follow here,
-/// in batches, written by the owner of their share.
+/// Users are told at once that jobs which depend on a cancelled job are cancelled too. Their records follow
+/// here, in batches, written by the owner of their share.
 void ResultWriter::cancel_dependents() {
   if (cancelling_ || deps_.records.graph().to_cancel().empty() || !deps_.store.writes_spare()) return;
   for (auto& [share, owned] : deps_.owned_shares.all())
--- a/src/app/result_writer.h
+++ b/src/app/result_writer.h
@@ -1,5 +1,5 @@
 // Writes what the owners of shares have decided to the state service: progress rows at a limited rate,
-// finished jobs at once, cancellations of jobs that need a cancelled job, and moves of machines between
+// finished jobs at once, cancellations of jobs that depend on a cancelled job, and moves of machines between
 // shares.
 #pragma once
 #include <cstddef>
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -97,7 +97,7 @@
                            const std::map<std::string, MachineRecord>& records);
   /// The share for a machine whose worker reports before the machine has a record; `shares` is their number.
   int share_for(const std::string& machine, const std::string& type, int shares);
-  /// The machine has a record now.
+  /// The machine has a record now: it no longer counts as booting.
   void on_machine_registered(const std::string& machine) { booting_.erase(machine); }
   bool has_booting() const { return !booting_.empty(); }
 
@@ -137,7 +137,7 @@
     int share = 0;
     share::Demand demand;
     std::uint32_t remaining = 0, assigned = 0;
-    bool other_share_has_capacity = false;  // though the demand was passed over
+    bool other_share_has_capacity = false;  // though the demand is starved
     std::map<std::string, std::uint32_t> assigned_by_zone;
   };
   /// The working state of one tick.
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -94,7 +94,7 @@
 
 // ---------------------------------------------------------------- unused capacity of other shares
 
-/// Another share's busy machine has had room for the passed-over demand for a while. The room must have been
+/// Another share's busy machine has had capacity for the starved demand for a while. It must have been
 /// unused for kMinUnusedTime, as there is always some for a moment between two tasks. Machines with
 /// production tasks are left out: these mostly run for good, so a drain would only keep the rest idle.
 /// (Without these two rules, compact work on the largest fleet met fewer deadlines; which of the two matters
@@ -124,7 +124,7 @@
   machine.reserved = true;
 }
 
-/// For a demand that was passed over for long while other shares have room beside their tasks: drains the
+/// For a starved demand while other shares have capacity beside their tasks: drains the
 /// machine with the lowest rank and then the fewest CPUs in use. Otherwise the demand would wait as long as
 /// these shares have any work.
 void Provisioner::drain_underused_machines(Plan& plan, PendingDemand& pending) {
@@ -147,7 +147,7 @@
   }
 }
 
-/// Renews drains for a passed-over demand, as tasks may run for longer than a drain lasts.
+/// Renews drains for a starved demand, as tasks may run for longer than a drain lasts.
 void Provisioner::renew_drains(Plan& plan, const PendingDemand& pending) {
   if (!pending.demand.starved) return;
   for (auto& [id, d] : draining_) {
--- a/src/place/cluster_view.h
+++ b/src/place/cluster_view.h
@@ -176,9 +176,9 @@
   std::shared_ptr<std::pair<const JobKind, FailedSearches>> kind;
   Micros start_within = 0;            // objective of its class for the start of a task
   Micros finish_within = 0;           // objective of its class for the end of the job; 0: none
-  Micros submitted = 0, ready = 0;    // steady clock; ready: since all jobs that it needs are done
-  wire::Rank rank = wire::Rank::low;  // its own rank, or the highest of the jobs that need it
-  std::optional<Micros> finish_by;    // its own deadline, or the one that jobs needing it impose
+  Micros submitted = 0, ready = 0;    // steady clock; ready: since all its dependencies are done
+  wire::Rank rank = wire::Rank::low;  // the highest of its own and its dependents'
+  std::optional<Micros> finish_by;  // its latest finish: for its own deadline, or for those of its dependents
   std::uint64_t version = 0;
   bool accepted_since_takeover = false;  // so no attempt of it predates our ownership
   bool cancelled = false, finished = false, committing = false;
@@ -201,7 +201,7 @@
   Micros spot_only_until = 0;   // a gang halted to move to spot machines may use only these until then
   Micros moved_to_spot_at = 0;
   Micros waiting_since = 0;          // no task was started since, although quota and back-off allowed it
-  bool starved = false;              // waits so long that the leader looks for capacity in other shares
+  bool starved = false;              // waits so long that the leader drains machines of other shares for it
   bool accepts_any_machine = false;  // waits so long that machines kept for GPU work may be used too
   /// Tasks that are neither done nor placed.
   std::uint32_t waiting() const {
--- a/src/place/decision.h
+++ b/src/place/decision.h
@@ -59,7 +59,7 @@
 StartRefusal start_refusal(const ClusterView& view, const Machine& machine, const TaskAttempt& attempt,
                            StartRefusal owner_refusal);
 
-/// Why a machine may not leave its share, to be moved or given back.
+/// Why a machine may not leave its share, to be moved or returned to the cloud.
 enum class ReleaseRefusal : std::uint8_t {
   none,
   share_not_loaded,      // what the share's former owners recorded is not read yet
--- a/src/place/delivery_tracker.h
+++ b/src/place/delivery_tracker.h
@@ -1,5 +1,5 @@
-// Detects a machine whose reports arrive while our answers and orders may not reach it. Doubt about delivery
-// is raised under a new token; only a report that shows this token, or a higher one, proves that something we
+// Detects a machine whose reports arrive while our answers and orders may not reach it. Such a machine is
+// in doubt under a new token; only a report that shows this token, or a higher one, proves that something we
 // sent since then has arrived.
 #pragma once
 #include <cstdint>
@@ -11,15 +11,15 @@
 /// Delivery to one machine.
 class DeliveryTracker {
  public:
-  /// Something sent to the machine had no effect. `token` must not have been sent before; seeing it in a
-  /// report ends the doubt.
+  /// Something sent to the machine had no effect: it is in doubt until a report shows `token`, which must not
+  /// have been sent before.
   void mark_in_doubt(std::uint64_t token, Micros now) {
     if (doubt_token_ == 0) in_doubt_since_ = now;
     doubt_token_ = token;
   }
   /// Takes the token shown by the machine's newest report. Before that report was sent, our answer to the
   /// previous one, which held `min_token` or a higher token, had arrived or was lost for good. Returns
-  /// whether this ended a doubt.
+  /// whether the machine was in doubt and no longer is.
   bool on_token_seen(std::uint64_t token, std::uint64_t min_token) {
     if (token >= min_token)
       lost_answers_ = 0;
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -42,7 +42,7 @@
   const Micros to_start = j.ready + j.start_within - now;
   if (!j.finish_by) return to_start;
   const Micros to_finish = *j.finish_by - j.spec->estimate - now;
-  // If only the jobs that need it impose a time to finish, its class's start objective holds as well.
+  // If only its dependents impose a latest finish, its class's start objective holds as well.
   return j.spec->deadline ? to_finish : std::min(to_finish, to_start);
 }
 
@@ -549,7 +549,7 @@
 }
 
 /// Preempts tasks of lower rank, or other teams' borrowed resources within the own guarantee, on the one
-/// machine where that loses the least work and makes room for a task of the job.
+/// machine where that loses the least work and frees enough capacity for a task of the job.
 Placement::Preemption Placement::preempt_for(Job& j, Micros now, int min_availability) {
   std::int64_t missing = j.waiting();
   // Tasks that are not accounted for may count against the guarantee, so it is used only on a rebuilt share.
--- a/src/place/placement.h
+++ b/src/place/placement.h
@@ -37,7 +37,7 @@
   std::vector<Job*> ordered_jobs(Micros now) const;
   /// How long the job can be delayed without missing its deadline or start objective; negative if it is late.
   Micros slack(const Job& j, Micros now) const;
-  /// The rank that the job is placed with. A job that others of a higher rank need gets theirs once its time
+  /// The rank that the job is placed with. A job whose dependents rank higher gets their rank once its time
   /// is short, and keeps its own until then, so that pipeline stages with time to spare neither preempt other
   /// work nor delay jobs with less time.
   wire::Rank effective_rank(const Job& j, Micros now) const;
--- a/src/share/cancellation_broadcast.h
+++ b/src/share/cancellation_broadcast.h
@@ -46,8 +46,8 @@
   std::optional<CancelNotice> message_for(const std::string& peer) const;
 
   // ---- cancellations of the peers
-  /// Records a notice. Returns true if all cancellations of its sender up to `last_number` are now known,
-  /// false if earlier ones are missing; the jobs in it are cancelled in either case.
+  /// Records a notice that a peer sent. Returns true if all cancellations of its sender up to `last_number`
+  /// are now known, false if earlier ones are missing; the jobs in it are cancelled in either case.
   bool receive(const CancelNotice& notice);
   /// The number up to which all cancellations of this process of the peer were received.
   std::uint64_t received_up_to(const std::string& peer, std::uint64_t incarnation) const;
--- a/src/share/heartbeat_tracker.h
+++ b/src/share/heartbeat_tracker.h
@@ -31,7 +31,7 @@
     std::optional<PeerState> state;
     bool reply_needed = false;  // the sender has no timestamp of this process yet: send it a heartbeat now
   };
-  /// Takes in a heartbeat of a peer that arrived at `now`.
+  /// Records a heartbeat of a peer that arrived at `now`, and returns what it proves.
   Reception receive(const Heartbeat& heartbeat, Micros now);
 
   /// Notes from a gossip frame whether its sender's version reads heartbeats. Returns true if the sender's
--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -230,10 +230,10 @@
     if (owners_.contains(s)) continue;
     auto it = unowned_since_.find(s);
     const Micros unowned_for = it == unowned_since_.end() ? now : now - it->second;
-    // The home node takes its share at once; the others wait, one after the other in name order.
+    // The home node acquires its share at once; the others wait, one after the other in name order.
     const int succession_rank = (home_share_ - s + share_count()) % share_count();
     // Right after our own start, a home node that we have not heard from is usually starting too.
-    // A home node that is running but does not reach the state service cannot take its share. Waiting for
+    // A home node that is running but does not reach the state service cannot acquire its share. Waiting for
     // such nodes left four shares without an owner for 8 s when only one node could take them.
     const auto home = peers_.find(home_node(s));
     const bool home_can_take =
--- a/src/share/ownership.h
+++ b/src/share/ownership.h
@@ -115,11 +115,11 @@
   /// workers; the other nodes may be working without us.
   bool isolated(Micros now) const;
 
-  /// The shares without an owner that this node should try to take now.
+  /// The shares without an owner that this node should try to acquire now.
   std::vector<int> shares_to_acquire(Micros now) const;
-  /// Whether this node should try to take the leader key now.
+  /// Whether this node should try to acquire the leader key now.
   bool should_acquire_leadership(Micros now) const;
-  /// A share that we own and whose home node has been ready for long enough to take it back.
+  /// A share that we own and whose home node has been ready for long enough to get it back.
   std::optional<int> share_to_hand_back(Micros now);
 
   /// The share that belongs to this node whenever it is ready; every node has one.
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -235,7 +235,7 @@
     return false;
   }
   // The cost of a pass depends on what has changed: placements that failed are not tried again until
-  // something changes, and without any change there is no pass. Effects of time alone (reserved room that
+  // something changes, and without any change there is no pass. Effects of time alone (reserved capacity that
   // becomes free, a deadline that comes near) are looked for every kFullPassInterval.
   const bool due = now - last_full_pass_ >= kFullPassInterval || now < last_full_pass_;
   if (due) last_full_pass_ = now, view_.note_new_capacity();
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -45,8 +45,8 @@
   wire::Shape shape = wire::Shape::array;
   bool spot = false, one_zone = false;
   bool excludes_gpu_machines = false;  // for now it waits for a machine without GPUs
-  bool starved = false;  // no task has started for long: machines of other shares should be freed for it
-  bool accepts_any_machine = false;  // waiting even longer: may also run beside GPU tasks
+  bool starved = false;  // no task has started for long: the leader drains machines of other shares for it
+  bool accepts_any_machine = false;  // starved for longer: may also use machines kept for GPU work
   std::uint32_t waiting = 0, running = 0;
   std::uint32_t closed_zone_mask = 0;  // zones that may take no more of its tasks: one bit each
   std::uint32_t max_per_zone = 0;      // most tasks in one zone; 0: no limit
@@ -99,7 +99,7 @@
                      Micros time_of_day);
   /// Notes which machine types the GPU tasks of a job can use. Called for the jobs of all shares.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
-  /// Sets a job's effective priority and deadline, which also depend on the jobs that wait for it.
+  /// Sets a job's rank, ready time and latest finish, which also depend on its undecided dependents.
   void set_scheduling_goals(const std::string& id, const job::SchedulingGoals& goals, Micros now,
                             Micros time_of_day);
   /// All job records are known as of `as_of` or later: a job without a record by then was not accepted
@@ -113,7 +113,7 @@
   void set_all_controllers_read_units(bool on) { all_controllers_read_units_ = on; }
   /// All jobs, progress rows and machines of the share have been passed in; nothing is placed before.
   void finish_loading(Micros now);
-  /// Takes in the record of a machine of this share. `handed_over_empty`: the record was written after the
+  /// Takes in the record of a machine of this share. `was_empty`: the record was written after the
   /// takeover, so the machine was empty when it joined the share.
   void on_machine_record(const MachineRecord& record, bool was_empty, Micros now);
   /// The machine's record was deleted or names another share.
@@ -209,11 +209,11 @@
   std::vector<Micros> take_result_waits() { return std::exchange(result_waits_, {}); }
   /// The released machine was not moved after all: tasks may be placed on it again.
   void cancel_release(const std::string& machine);
-  /// Frees the machine for share `to`, whose tasks of rank `rank` wait for room: stops its tasks if all of
-  /// them rank below `rank`, otherwise leaves it unchanged. With the lowest rank nothing is stopped, but
+  /// Frees the machine for share `to`, whose tasks of rank `rank` wait for capacity: stops its tasks if all
+  /// of them rank below `rank`, otherwise leaves it unchanged. With the lowest rank nothing is stopped, but
   /// nothing more is placed on the machine for a while.
   void drain(const std::string& machine, int to, wire::Rank rank, Micros now);
-  /// Drained machines that may leave now, and the share that each is for (-1: it is given back).
+  /// Drained machines that may leave now, and the share that each is for (-1: it is returned to the cloud).
   std::vector<std::pair<std::string, int>> drained_machines() const;
 
   // ---- queries
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -18,7 +18,7 @@
   const JobRecord* record = lookup_job_(job);
   if (record && record->final()) return JobDisposition::ended;
   if (!record || !record->spec) return JobDisposition::not_known;  // no record, or an incomplete one
-  // As far as we know, a job of this share that is not planned is still waiting for other jobs.
+  // As far as we know, a job of this share that is not planned still has open dependencies.
   const bool ours = !settings_.owns_team || settings_.owns_team(record->spec->team);
   return ours ? JobDisposition::not_known : JobDisposition::of_another_share;
 }
@@ -67,9 +67,9 @@
       p.unattributed = may_have_job_record(p);
       if (p.unattributed) break;
       // If its job had been accepted before the attempt was reported, a record would be known by now. Or
-      // there is a record, and the job still waits for others, so none of its tasks may run.
-      spdlog::info("machine {}: stopping {}/{} try {}: its job doesn't exist or may not run yet", m.record.id,
-                   p.job_id, p.index, p.attempt);
+      // there is a record, and the job still has open dependencies, so none of its tasks may run.
+      spdlog::info("machine {}: stopping {}/{} attempt {}: its job doesn't exist or may not run yet",
+                   m.record.id, p.job_id, p.index, p.attempt);
       ++attribution_counts_.dropped_attempts;
       view_.halt(p, 0);
       break;
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -30,7 +30,7 @@
   const TaskAttempt& p = attempt->second;
   const auto which =
       why == StartRefusal::other_attempt ? Invariant::one_attempt_of_a_task : Invariant::done_is_final;
-  place::report_violation(which, p.job_id + "/" + std::to_string(p.index) + " try " +
+  place::report_violation(which, p.job_id + "/" + std::to_string(p.index) + " attempt " +
                                      std::to_string(p.attempt) + " on " + m.record.id + ", epoch " +
                                      std::to_string(epoch_) + ": " + std::string(place::to_string(why)));
   view_.free_attempt(m, attempt, now, FreeReason::refused);
@@ -62,8 +62,8 @@
     p.started_at = now;
     has_starts = true;
     out.push_back({Order::Verb::launch, p.job_id, p.index, p.attempt, 0});
-    spdlog::debug("starting {}/{} try {} on {}, session {}, token {}, by {}", p.job_id, p.index, p.attempt,
-                  m.record.id, m.session, current_token(m), by_push ? "push" : "answer");
+    spdlog::debug("starting {}/{} attempt {} on {}, session {}, token {}, by {}", p.job_id, p.index,
+                  p.attempt, m.record.id, m.session, current_token(m), by_push ? "push" : "answer");
   }
   // Halt orders come before launch orders, because they free resources.
   std::stable_partition(out.begin(), out.end(), [](const Order& o) { return o.verb != Order::Verb::launch; });
--- a/src/share/share_controller_progress.cpp
+++ b/src/share/share_controller_progress.cpp
@@ -21,8 +21,8 @@
                                         std::uint64_t version) {
   auto it = view_.jobs.find(job);
   if (it == view_.jobs.end()) {
-    // The job's record may not have arrived yet, or the job seems to wait for others because the known
-    // records are out of date. The row is kept because it is not read again.
+    // The job's record may not have arrived yet, or the job seems to have open dependencies because the
+    // known records are out of date. The row is kept because it is not read again.
     const JobRecord* record = lookup_job_(job);
     if (!record || !record->final()) rows_of_unplanned_jobs_[job][row] = {text, version};
     return;
--- a/src/share/share_controller_queries.cpp
+++ b/src/share/share_controller_queries.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr std::size_t kMaxDemands = 64;
-constexpr std::size_t kMaxExtraStarvedDemands = 8;  // beyond kMaxDemands, for jobs that have waited too long
+constexpr std::size_t kMaxExtraStarvedDemands = 8;  // beyond kMaxDemands, for starved jobs
 }  // namespace
 
 std::optional<std::pair<std::uint32_t, std::uint32_t>> ShareController::task_counts(
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -184,7 +184,7 @@
     if (t.cause == Cause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
     if (t.cause == Cause::gang_incomplete && j) j->incomplete_attempt = t.attempt;
     if (t.cause == Cause::unknown && j) j->not_before = now + 2 * kSecond;
-    spdlog::debug("exited {}/{} try {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
+    spdlog::debug("exited {}/{} attempt {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
                   static_cast<int>(t.cause));
     view_.free_attempt(m, p, now, FreeReason::exited);
   }
@@ -226,7 +226,7 @@
 /// Counts an error against the job and the machine, and decides which of the two is at fault.
 void ShareController::on_task_failed(Job& j, Machine& m, Micros now) {
   ++j.error_count;
-  // A machine is avoided only for some time: if it is the only one with room, the job would wait forever.
+  // A machine is avoided only for some time: if it is the only one with capacity, the job would wait forever.
   std::erase_if(j.avoided_machines, [&](const auto& bad) { return bad.second <= now; });
   j.avoided_machines[m.record.id] = now + settings_.suspect_for;
   m.error_jobs.insert(j.id);
@@ -257,9 +257,9 @@
   m.results.clear();  // the worker loses them with its session
 }
 
-/// The machine's reports arrive, but our messages to it seem to get lost. Raises its token, so that a report
-/// which shows the new token proves that a message has arrived. Until then nothing is placed on the machine,
-/// and attempts whose orders were not sent yet are placed elsewhere.
+/// Puts the machine in doubt: its reports arrive, but our messages to it seem to get lost. Raises its token,
+/// so that a report which shows the new token proves that a message has arrived. Until then nothing is placed
+/// on the machine, and attempts whose orders were not sent yet are placed elsewhere.
 void ShareController::mark_delivery_in_doubt(Machine& m, Micros now, const char* why) {
   ++m.token_offset;
   if (!m.delivery.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
