--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -79,8 +79,8 @@
 
 // ---------------------------------------------------------------- events
 
-void ShareController::on_job_record(const std::string& id, const JobRecord& record, bool fresh, Micros now,
-                                    Micros time_of_day) {
+void ShareController::on_job_record(const std::string& id, const JobRecord& record,
+                                    bool accepted_after_takeover, Micros now, Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (record.final()) {
     rows_of_unplanned_jobs_.erase(id);
@@ -119,7 +119,7 @@
   j->rank = record.spec->rank;
   if (record.spec->deadline) j->finish_by = j->submitted + *record.spec->deadline;
   j->waiting_since = now;
-  j->accepted_since_takeover = fresh;
+  j->accepted_since_takeover = accepted_after_takeover;
   note_gpu_job(*record.spec);
   j->done = DoneSet(record.spec->tasks);
   j->recorded = j->recorded_in_chunks = j->done;
@@ -173,7 +173,7 @@
 void ShareController::on_machine_removed(const std::string& id, Micros now) {
   auto it = view_.machines.find(id);
   if (it == view_.machines.end()) return;
-  drop_all_attempts(it->second, now, FreeReason::left_share);
+  free_all_attempts(it->second, now, FreeReason::left_share);
   placement_.rnn().remove_machine(it->second.neuron);
   view_.remove_machine(it);
   update_rebuilt(now);
@@ -212,7 +212,7 @@
   for (Machine* entry : view_.machines_by_id) {
     Machine& m = *entry;
     if (now >= m.lease_expires_at && (m.up || !m.accounted_for)) {
-      drop_all_attempts(m, now, FreeReason::lease_expired);
+      free_all_attempts(m, now, FreeReason::lease_expired);
       m.up = false;
       m.accounted_for = true;
       view_.note_new_capacity();
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -94,8 +94,8 @@
   // ---- events
 
   /// Takes in a new or changed record of a job that this share plans; for a job that has ended, stops its
-  /// attempts. `fresh`: the job was accepted after the takeover, so that none of its tasks can run yet.
-  void on_job_record(const std::string& id, const JobRecord& record, bool fresh, Micros now,
+  /// attempts. `accepted_after_takeover`: so that none of its tasks can run yet.
+  void on_job_record(const std::string& id, const JobRecord& record, bool accepted_after_takeover, Micros now,
                      Micros time_of_day);
   /// Notes which machine types the GPU tasks of a job can use. Called for the jobs of all shares.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
@@ -265,7 +265,7 @@
   static ReportFreshness freshness_of(const Machine& m, const wire::WorkerReport& r);
   std::uint64_t current_token(const Machine& m) const;
   bool apply_report(Machine& m, const wire::WorkerReport& r, bool own_report, Micros now);
-  void drop_all_attempts(Machine& m, Micros now, FreeReason why);
+  void free_all_attempts(Machine& m, Micros now, FreeReason why);
   void mark_delivery_in_doubt(Machine& m, Micros now, const char* why);
   void on_task_succeeded(Job& j, Machine& m, const TaskAttempt& p, Micros now);
   void on_task_failed(Job& j, Machine& m, Micros now);
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -66,7 +66,7 @@
     const Micros answered = m.lease_expires_at - latest_lease_end(0);
     const bool answers_lost =
         m.session != 0 && m.accounted_for && m.up && now - answered < platform_.worker_lease;
-    if (m.session != 0) drop_all_attempts(m, now, FreeReason::new_session);
+    if (m.session != 0) free_all_attempts(m, now, FreeReason::new_session);
     // A session's lease starts with the session, before any report is answered. If the session became known
     // through a push, it may have begun just now, and an attempt that we start in it lives for that lease.
     // Before a machine is accounted for we start nothing on it, and its former owner knew no session that
@@ -249,7 +249,7 @@
 }
 
 /// Drops all attempts and results of a machine whose worker has certainly lost them.
-void ShareController::drop_all_attempts(Machine& m, Micros now, FreeReason why) {
+void ShareController::free_all_attempts(Machine& m, Micros now, FreeReason why) {
   if (!m.tasks.empty())
     spdlog::info("machine {}: dropped {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
   while (!m.tasks.empty()) view_.free_attempt(m, m.tasks.begin(), now, why);
