--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -207,8 +207,8 @@
                          deps_.records.update_job(id, submission->record);
                          deps_.records.publish_graph_changes();
                          deps_.schedule_tick();
-                         // The answer of the state service may have been late: other nodes may have told the
-                         // user meanwhile that the job is over.
+                         // The answer of the state service may have been late: other nodes may have reported
+                         // to the user meanwhile that the job is over.
                          return answer_with_status(submission->exchange, 201, id);
                        }
                        // Without an answer the record may exist and need its parts. The same holds on a
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -90,7 +90,7 @@
 
 /// The nodes that may own the job's share and may not know of its cancellation. A node that acquires the
 /// share later reads every record up to its owner key, and so the cancellation. Any node that may have
-/// acquired it before, unseen by us, must have said that it knows.
+/// acquired it before, unseen by us, must have reported that it knows.
 std::vector<std::string> PeerService::possible_owners(const std::string& job, std::uint64_t revision) const {
   const auto& ownership = deps_.owned_shares.ownership();
   const auto* record = deps_.records.job(job);
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -45,7 +45,7 @@
   void send_heartbeats();
   /// The owner keys or the leader key may have changed.
   void on_keys_changed();
-  /// The job is known to be cancelled, by a record of this revision; 0: a peer said so and the record is
+  /// The job is known to be cancelled, by a record of this revision; 0: a peer reported it and the record is
   /// still to come.
   void on_cancellation_known(const std::string& job, std::uint64_t revision);
   /// No owner of the job's share can start a task of this cancelled job any more, so users may be told.
@@ -90,7 +90,7 @@
   share::PendingConfirmations confirmations_;
   std::map<int, ReportedState> reported_states_;  // by share, as last reported by its owner
   std::map<int, std::pair<std::string, Micros>>
-      reported_owners_;  // by share: the node that said it owns the share, and when
+      reported_owners_;  // by share: the node that reported to own the share, and when
   std::uint64_t leader_epoch_ = 0;
   Micros leader_since_ = 0;  // when the current leader key was first seen
 };
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -101,8 +101,8 @@
 void Records::apply_peer_cancellation(const std::string& id, std::uint64_t revision) {
   const auto* known = job(id);
   if (!known) {
-    // The watch may deliver the record first and an outage delay its cancellation, although we told the peer
-    // that we know it. So the cancellation is kept until the record arrives.
+    // The watch may deliver the record first and an outage delay its cancellation, although we acknowledged
+    // it to the peer. So the cancellation is kept until the record arrives.
     early_cancellations_[id] = revision;
     return;
   }
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -191,7 +191,7 @@
   deps_.store.commit(std::move(guards), std::move(writes), store::Urgency::background,
                      [this, ids](int code, std::uint64_t revision) {
                        cancelling_ = false;
-                       // After a conflict one of them was changed elsewhere: the watch will tell which; until
+                       // After a conflict one of them was changed elsewhere: the watch will show which; until
                        // then they are committed one by one.
                        cancel_batch_ = code == 409 ? 1 : kCancelBatch;
                        if (code != 200) return;
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -78,7 +78,7 @@
   m.zone = report.zone;
   m.spot = report.spot;
   m.share = deps_.share_for(report);
-  // A worker that has accepted a token obeys only orders of a higher epoch.
+  // A worker that has accepted a token executes only orders of a higher epoch.
   if (report.token > 0)
     m.epoch = std::max(deps_.owned_shares.highest_epoch(), share::epoch_of_token(report.token)) + 1;
   deps_.store.commit(
--- a/src/job/graph.cpp
+++ b/src/job/graph.cpp
@@ -171,7 +171,7 @@
       (h == history_.end() ? ClassHistory{}.duration_factor : h->second.duration_factor));
 }
 
-/// Raises a dependency's rank and latest finish to what its dependent `by` asks for; true if that changed
+/// Raises a dependency's rank and latest finish to what its dependent `by` requires; true if that changed
 /// any.
 bool DependencyGraph::raise_priority(Node& needed, const Node& by) const {
   bool raised = false;
@@ -199,7 +199,7 @@
   }
 }
 
-/// After a dependent of these nodes was cancelled: takes back the rank and latest finish that it passed on,
+/// After a dependent of these nodes was cancelled: removes the rank and latest finish that it passed on,
 /// also from their own dependencies, as far as that changes anything.
 void DependencyGraph::recompute_priorities(std::vector<Node*> from) {
   std::deque<Node*> worklist;
--- a/src/job/graph.h
+++ b/src/job/graph.h
@@ -72,7 +72,7 @@
 
     bool undecided() const { return status == JobStatus::queued && !dependency_cancelled; }
   };
-  /// What finished jobs of a class tell about its other jobs.
+  /// Statistics of a class's finished jobs, used to estimate its other jobs.
   struct ClassHistory {
     double duration_factor = 1.2;  // measured duration relative to the estimate: moving average
     double finish_by_seconds = 0;  // from submission to latest finish: moving average of jobs with dependents
--- a/src/place/cluster_view.cpp
+++ b/src/place/cluster_view.cpp
@@ -69,7 +69,7 @@
                                FreeReason reason) {
   const TaskAttempt p = std::move(it->second);
   ++freed_counts.at(static_cast<std::size_t>(reason));
-  spdlog::debug("freed {}/{} attempt {} on {} session {} token {}: {}", p.job_id, p.index, p.attempt,
+  spdlog::debug("freed {}/{} attempt {} on {}, session {}, token {}: {}", p.job_id, p.index, p.attempt,
                 m.record.id, m.session, m.seen_token, to_string(reason));
   const TaskKey key = it->first;
   m.tasks.erase(it);
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -378,7 +378,7 @@
   return true;
 }
 
-/// How many tasks of the job fit into `room` on this machine.
+/// How many tasks of the job fit into `capacity` on this machine.
 std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources capacity) const {
   if (!fits(j, m, capacity)) return 0;
   return j.spec->need.times_in(capacity, j.spec->tasks);
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -248,10 +248,10 @@
   }
 }
 
-/// Drops all attempts and results of a machine whose worker has certainly lost them.
+/// Frees all attempts and drops all results of a machine whose worker has certainly lost them.
 void ShareController::free_all_attempts(Machine& m, Micros now, FreeReason why) {
   if (!m.tasks.empty())
-    spdlog::info("machine {}: dropped {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
+    spdlog::info("machine {}: freed {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
   while (!m.tasks.empty()) view_.free_attempt(m, m.tasks.begin(), now, why);
   m.pending_forgets.clear();
   m.results.clear();  // the worker loses them with its session
--- a/src/share/share_controller_results.cpp
+++ b/src/share/share_controller_results.cpp
@@ -37,7 +37,7 @@
 
 /// Decides what happens to an exited attempt at its worker: a result that may not be recorded yet is kept;
 /// for anything else the worker gets an order to forget it. `before`: the results of the report before, which
-/// tell since when a result has been held.
+/// show since when a result has been held.
 void ShareController::retain_or_forget_result(Machine& m, const TaskReport& t,
                                               const std::map<TaskKey, UnrecordedResult>& before, Micros now) {
   const TaskKey key{t.job, t.index};
