--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -251,7 +251,7 @@
       r.seq += 1, r.token = std::uint64_t{2} << place::kEpochShift;
       h.on_report(r, before.now, place::StartRefusal::none);
     }
-    if (!h.rebuilt()) state.SkipWithError("not rebuilt");
+    if (!h.all_accounted_for()) state.SkipWithError("not rebuilt");
     state.counters["heap_MB"] = static_cast<double>(mallinfo2().uordblks - heap) / 1e6;  // this owner's
   }
 }
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -55,7 +55,7 @@
            [this](const share::StatusReply& t) { job_api_.on_peer_status(t); }, [this] { schedule_tick(); }}),
       leader_(platform, operator_settings.renting, records_.types(), records_.machines(),
               {[this] { return loop_.now(); }, dependencies.http,
-               [this] { return peer_service_.all_share_states(); },
+               [this] { return peer_service_.all_share_reports(); },
                [this](const auto& types) { records_.write_types(types); },
                [this](const fleet::MoveMachine& move) { peer_service_.execute_move(move); },
                [this](const auto& ids) { records_.delete_machines(ids); }}),
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -37,7 +37,7 @@
     next_list_ = now + kListInterval;
     list_machines("", std::make_shared<std::vector<wire::CloudMachine>>());
   }
-  for (const auto& action : provisioner_->tick(now, deps_.share_states(), machines_)) {
+  for (const auto& action : provisioner_->tick(now, deps_.share_reports(), machines_)) {
     if (const auto* r = std::get_if<fleet::RentMachines>(&action))
       rent_machines(*r);
     else if (const auto* d = std::get_if<fleet::DeleteMachines>(&action))
--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -21,7 +21,7 @@
     std::function<Micros()> now;  // steady clock
     net::Requester& http;
     /// Waiting work and machines of all shares, as fresh as known here.
-    std::function<std::vector<share::ShareReport>()> share_states;
+    std::function<std::vector<share::ShareReport>()> share_reports;
     /// Called with the machine types when they were read for the first time and are to be recorded.
     std::function<void(const std::vector<wire::MachineType>&)> types_fetched;
     std::function<void(const fleet::MoveMachine&)> move_machine;
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -290,11 +290,11 @@
   return ownership_.is_ours(ownership_.leader()) && ownership_.lease_valid(deps_.loop.now());
 }
 
-std::vector<share::ShareReport> OwnedShares::share_states() const {
+std::vector<share::ShareReport> OwnedShares::share_reports() const {
   const Micros now = deps_.loop.now();
   std::vector<share::ShareReport> out;
   for (const auto& [share, owned] : owned_)
-    out.push_back({share, owned.controller->rebuilt(), owned.controller->demands(now),
+    out.push_back({share, owned.controller->all_accounted_for(), owned.controller->demands(now),
                    owned.controller->machine_states(now)});
   return out;
 }
--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -92,7 +92,7 @@
   /// which the view of the machines comes from.
   place::StartRefusal leader_refusal() const;
   /// The states of the owned shares, as reported to peers and to the leader.
-  std::vector<share::ShareReport> share_states() const;
+  std::vector<share::ShareReport> share_reports() const;
   share::Ownership& ownership() { return ownership_; }
   const share::Ownership& ownership() const { return ownership_; }
   /// The highest epoch in any record known here. The epochs that a machine's former owners used are in its
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -7,7 +7,7 @@
 using share::OwnerKey;
 
 namespace {
-constexpr Micros kReportedStateMaxAge = 2 * kSecond;
+constexpr Micros kShareReportMaxAge = 2 * kSecond;
 constexpr Micros kReportedOwnerMaxAge = 1500 * kMillisecond;
 constexpr Micros kNewLeaderWait = 1500 * kMillisecond;  // after a new leader key was seen
 }  // namespace
@@ -34,7 +34,7 @@
   share::Gossip brief = full;
   brief.ids_only = true;
   for (const auto& [share, owned] : deps_.owned_shares.all())
-    brief.shares.push_back({share, owned.controller->rebuilt(), {}, {}});
+    brief.shares.push_back({share, owned.controller->all_accounted_for(), {}, {}});
   const std::string brief_frame = share::encode(brief);
   const OwnerKey* leader = deps_.owned_shares.ownership().leader();
   std::vector<std::string> full_frames;
@@ -44,7 +44,7 @@
       continue;
     }
     if (full_frames.empty()) {
-      full.shares = deps_.owned_shares.share_states();
+      full.shares = deps_.owned_shares.share_reports();
       full_frames = share::encode_gossip(full);
     }
     for (const auto& frame : full_frames) deps_.peers.send_bytes(peer.name, frame);
@@ -119,8 +119,8 @@
   const auto& ownership = deps_.owned_shares.ownership();
   for (int index = 0; index < ownership.share_count(); ++index) {
     if (!ownership.owner(index) || deps_.owned_shares.find(index)) continue;
-    auto reported = reported_states_.find(index);
-    if (reported == reported_states_.end() || now - reported->second.received > kReportedStateMaxAge)
+    auto reported = received_reports_.find(index);
+    if (reported == received_reports_.end() || now - reported->second.received > kShareReportMaxAge)
       return false;
   }
   return true;
@@ -133,12 +133,12 @@
              : it->second.first;
 }
 
-std::vector<share::ShareReport> PeerService::all_share_states() const {
-  auto shares = deps_.owned_shares.share_states();
+std::vector<share::ShareReport> PeerService::all_share_reports() const {
+  auto shares = deps_.owned_shares.share_reports();
   const Micros now = deps_.loop.now();
-  for (const auto& [share, reported] : reported_states_)
-    if (now - reported.received <= kReportedStateMaxAge && !deps_.owned_shares.find(share))
-      shares.push_back(reported.state);
+  for (const auto& [share, reported] : received_reports_)
+    if (now - reported.received <= kShareReportMaxAge && !deps_.owned_shares.find(share))
+      shares.push_back(reported.report);
   return shares;
 }
 
@@ -191,14 +191,14 @@
     ownership.peer_reported(
         gossip.node,
         {gossip.state_service_reachable, gossip.records_synced, gossip.lease, now, false, 0, {}});
-  for (const auto& state : gossip.shares) reported_owners_[state.share] = {gossip.node, now};
+  for (const auto& report : gossip.shares) reported_owners_[report.share] = {gossip.node, now};
   if (gossip.ids_only) return;
   // Share by share, because a node with thousands of machines sends them in several frames.
-  std::erase_if(reported_states_, [&](const auto& entry) {
+  std::erase_if(received_reports_, [&](const auto& entry) {
     const OwnerKey* key = ownership.owner(entry.first);
     return entry.second.node == gossip.node && key && key->node != gossip.node;
   });
-  for (const auto& state : gossip.shares) reported_states_[state.share] = {gossip.node, now, state};
+  for (const auto& report : gossip.shares) received_reports_[report.share] = {gossip.node, now, report};
 }
 
 void PeerService::handle(const share::ReleaseRequest& release_request) {
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -55,7 +55,7 @@
   /// Dispatches a frame of a peer; `reply` sends a frame back to it.
   void handle_frame(const share::Frame& frame, const share::PeerTransport::Reply& reply);
   /// The states of all shares, as fresh as known here: of owned shares, and of others as reported recently.
-  std::vector<share::ShareReport> all_share_states() const;
+  std::vector<share::ShareReport> all_share_reports() const;
   /// All shares that have an owner were reported recently, or the other nodes have had the time to learn that
   /// this node leads. A leader that knows only its own shares would rent machines that other
   /// shares do not need.
@@ -67,10 +67,10 @@
   void execute_move(const fleet::MoveMachine& move);
 
  private:
-  struct ReportedState {
+  struct ReceivedReport {
     std::string node;
     Micros received = 0;
-    share::ShareReport state;
+    share::ShareReport report;
   };
   void handle(const share::Gossip& gossip);
   void handle(const share::ReleaseRequest& release_request);
@@ -88,7 +88,7 @@
   share::HeartbeatTracker heartbeats_;
   share::CancellationBroadcast cancellations_;
   share::PendingConfirmations confirmations_;
-  std::map<int, ReportedState> reported_states_;  // by share, as last reported by its owner
+  std::map<int, ReceivedReport> received_reports_;  // by share, as last reported by its owner
   std::map<int, std::pair<std::string, Micros>>
       reported_owners_;  // by share: the node that reported to own the share, and when
   std::uint64_t leader_epoch_ = 0;
--- a/src/place/cluster_view.h
+++ b/src/place/cluster_view.h
@@ -226,7 +226,7 @@
   std::vector<Machine*> machines_by_id;  // the same machines in the same order, for fast iteration
   std::map<std::string, std::unique_ptr<Job>> jobs;
   std::map<std::string, Resources> team_usage;  // by team, of all attempts on machines
-  bool rebuilt = false;                         // every machine has been accounted for since our takeover
+  bool all_accounted_for = false;               // every machine has been accounted for since our takeover
   /// Number of attempts per task that are not its job's active one. The task is not placed until all are
   /// gone.
   std::map<TaskKey, int> stray_attempts;
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -161,7 +161,7 @@
 /// Collects the distinct properties of the machines that are not accounted for yet.
 void Placement::collect_unaccounted() {
   unaccounted_.clear();
-  if (view_.rebuilt) return;
+  if (view_.all_accounted_for) return;
   for (const Machine* m : view_.machines_by_id)
     if ((!m->accounted_for && !m->handed_over_empty) || m->unattributed > 0)
       unaccounted_.insert({m->type, m->type_index, m->zone, m->spot});
@@ -181,7 +181,7 @@
 /// s.
 bool Placement::placement_allowed(const Job& j) const {
   if (j.committing) return false;
-  if (view_.rebuilt) return true;
+  if (view_.all_accounted_for) return true;
   // Tasks on machines that are not accounted for may use up the team's limit.
   const wire::Team* t = quota_.team(j.spec->team);
   if (!t) return false;
@@ -553,7 +553,7 @@
 Placement::Preemption Placement::preempt_for(Job& j, Micros now, int min_availability) {
   std::int64_t missing = j.waiting();
   // Tasks that are not accounted for may count against the guarantee, so it is used only on a rebuilt share.
-  const bool guaranteed = view_.rebuilt && quota_.within_guarantee(j);
+  const bool guaranteed = view_.all_accounted_for && quota_.within_guarantee(j);
   if (guaranteed && j.rank < Rank::high) {  // preempt other teams' work for the guaranteed part only
     const auto& g = quota_.team(j.spec->team)->guaranteed;
     const auto& usage = view_.team_usage[j.spec->team];
@@ -654,7 +654,7 @@
     // Production jobs preempt lower ranks rather than stay on an expensive machine. Jobs that end soon use
     // expensive machines that are rented anyway, since preempted work is lost.
     const bool may_preempt =
-        effective_rank(*j, now) >= Rank::high || (view_.rebuilt && quota_.within_guarantee(*j));
+        effective_rank(*j, now) >= Rank::high || (view_.all_accounted_for && quota_.within_guarantee(*j));
     const bool is_production = j->rank == Rank::production;
     // Preempts for up to eight waiting tasks. Returns `started` if anything was preempted now, `pending` if
     // halts under way are enough.
@@ -672,7 +672,7 @@
     const bool preempting = preempt(0) == Preemption::started;
     if (!preempting && is_production && !waits_for_non_gpu_machine(*j, now)) place(false);
   }
-  if (view_.rebuilt) move_to_spot(now);
+  if (view_.all_accounted_for) move_to_spot(now);
   return attempts_ < attempt_limit;  // the last job may have reached the limit
 }
 
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -87,7 +87,7 @@
   w.num<std::uint8_t>(static_cast<std::uint8_t>(g.shares.size()));
   for (const auto& s : g.shares) {
     w.num<std::int16_t>(static_cast<std::int16_t>(s.share));
-    w.num<std::uint8_t>(s.rebuilt);
+    w.num<std::uint8_t>(s.all_accounted_for);
     w.num<std::uint16_t>(static_cast<std::uint16_t>(s.demands.size()));
     for (const auto& d : s.demands) {
       w.resources(d.need);
@@ -127,7 +127,7 @@
   for (int i = 0; i < shares; ++i) {
     ShareReport s;
     s.share = r.num<std::int16_t>();
-    s.rebuilt = r.num<std::uint8_t>() != 0;
+    s.all_accounted_for = r.num<std::uint8_t>() != 0;
     for (int n = r.num<std::uint16_t>(); n > 0; --n) {
       Demand d;
       d.need = r.resources();
--- a/src/share/peer_frame.h
+++ b/src/share/peer_frame.h
@@ -19,7 +19,8 @@
 /// What the owner of a share reports to the leader.
 struct ShareReport {
   int share = 0;
-  bool rebuilt = false;  // since acquiring the share, the owner has accounted for all of its machines
+  bool all_accounted_for =
+      false;  // since acquiring the share, the owner has accounted for all of its machines
   std::vector<Demand> demands;
   std::vector<MachineState> machines;
 };
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -150,7 +150,7 @@
 
 void ShareController::finish_loading(Micros now) {
   loaded_ = true;
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 void ShareController::on_machine_record(const MachineRecord& record, bool was_empty, Micros now) {
@@ -176,24 +176,25 @@
   free_all_attempts(it->second, now, FreeReason::left_share);
   placement_.rnn().remove_machine(it->second.neuron);
   view_.remove_machine(it);
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 // ---------------------------------------------------------------- planning
 
 /// Notes and logs when every machine has been accounted for after a takeover.
-void ShareController::update_rebuilt(Micros) {
-  if (view_.rebuilt || !loaded_) return;
+void ShareController::update_all_accounted_for(Micros) {
+  if (view_.all_accounted_for || !loaded_) return;
   for (const auto& [id, m] : view_.machines)
     if ((!m.accounted_for && !m.handed_over_empty) || awaits_job_records(m)) return;
-  view_.rebuilt = true;
+  view_.all_accounted_for = true;
   spdlog::info("share {}: all machines accounted for: {} machines, {} jobs", settings_.share,
                view_.machines.size(), view_.jobs.size());
 }
 
 /// Logs, once per takeover, how many machines keep it from completing, and the first of them.
 void ShareController::log_unaccounted_machines(Micros now) {
-  if (view_.rebuilt || logged_unaccounted_machines_ || now - taken_over_at_ < kUnaccountedLogDelay) return;
+  if (view_.all_accounted_for || logged_unaccounted_machines_ || now - taken_over_at_ < kUnaccountedLogDelay)
+    return;
   logged_unaccounted_machines_ = true;
   std::size_t unaccounted = 0;
   const Machine* first = nullptr;
@@ -216,7 +217,7 @@
       m.up = false;
       m.accounted_for = true;
       view_.note_new_capacity();
-      update_rebuilt(now);
+      update_all_accounted_for(now);
     }
     measure_result_wait(m, now);
     if (m.drain_until > 0 && now >= m.drain_until)
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -224,7 +224,7 @@
   std::vector<Demand> demands(Micros now) const;
   std::vector<MachineState> machine_states(Micros now) const;
   /// Whether every machine has been accounted for since the takeover.
-  bool rebuilt() const { return view_.rebuilt; }
+  bool all_accounted_for() const { return view_.all_accounted_for; }
   bool has_machine(const std::string& id) const { return view_.machines.contains(id); }
   std::uint64_t epoch() const { return epoch_; }
   /// Number of attempts numbered in this epoch; at place::kAttemptsPerEpoch nothing more is started.
@@ -288,7 +288,7 @@
   void count_start_refusal(StartRefusal why) { ++refused_starts_.at(static_cast<std::size_t>(why)); }
   std::vector<Order> take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
                                  StartRefusal owner_refusal, Micros now);
-  void update_rebuilt(Micros now);
+  void update_all_accounted_for(Micros now);
   void log_unaccounted_machines(Micros now);
   static void complete_gang(Job& j);
   static void merge_recorded_row(Job& j, std::uint32_t row, const std::string& text);
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -124,7 +124,7 @@
       add_attempt(*m, view_.take_unattributed(*m, current), now);
     }
   }
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 /// Handles unattributed attempts whose jobs, by the records read since, have ended, belong to another share
@@ -142,7 +142,7 @@
       add_attempt(*m, view_.take_unattributed(*m, current), now);
     }
   }
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 ShareController::AttributionCounts ShareController::attribution_counts() const {
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -148,7 +148,7 @@
     m.lease_expires_at =
         std::max(m.lease_expires_at, latest_lease_end(now));  // the lease of this session, see above
     view_.note_new_capacity(m);
-    update_rebuilt(now);
+    update_all_accounted_for(now);
   }
   return true;
 }
--- a/tests/attribution_test.cpp
+++ b/tests/attribution_test.cpp
@@ -100,12 +100,12 @@
   record("j-2", 4, "array", "tight");
   tell("j-2");
   place();
-  EXPECT_FALSE(owner.rebuilt());
+  EXPECT_FALSE(owner.all_accounted_for());
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   record("j-1", 1, "array", "tight");
   tell("j-1");
   place();
-  EXPECT_TRUE(owner.rebuilt());
+  EXPECT_TRUE(owner.all_accounted_for());
   EXPECT_EQ(owner.describe_attempts().size(), 4U);  // of 2 CPUs each, 8 in all
 }
 
@@ -119,11 +119,11 @@
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-2", 0)}).empty());
-  EXPECT_FALSE(owner.rebuilt());
+  EXPECT_FALSE(owner.all_accounted_for());
   owner.set_records_as_of(reported + 1);
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 halting"});
-  EXPECT_TRUE(owner.rebuilt());
+  EXPECT_TRUE(owner.all_accounted_for());
   EXPECT_EQ(report("i-1", {running("j-1", 0), done("j-2", 0)}), (std::set<place::TaskKey>{{"j-2", 0}}));
   EXPECT_EQ(owner.attribution_counts().dropped_attempts, 1U);
   EXPECT_EQ(owner.attribution_counts().dropped_results, 1U);
@@ -138,7 +138,7 @@
   place();
   EXPECT_EQ(owner.describe_attempts(), Lines{"i-1 j-1/0 running"});
   EXPECT_TRUE(report("i-1", {running("j-1", 0), done("j-1", 1)}).empty());
-  EXPECT_TRUE(owner.rebuilt());  // it holds its machine, not the share
+  EXPECT_TRUE(owner.all_accounted_for());  // it holds its machine, not the share
   EXPECT_FALSE(owner.release("i-1", now));
 }
 
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -12,7 +12,7 @@
   Gossip g;
   g.node = "rig-1", g.state_service_reachable = true, g.lease = 77;
   ShareReport s;
-  s.share = 2, s.rebuilt = true;
+  s.share = 2, s.all_accounted_for = true;
   Demand d;
   d.need = {4'000'000, 0, 6'200'000}, d.type_mask = 5, d.zone = 1, d.rank = wire::Rank::high, d.spot = true;
   d.waiting = 7, d.closed_zone_mask = 2, d.max_per_zone = 3, d.slack_ms = 900, d.estimated_run_ms = 30'000;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -348,7 +348,7 @@
   static std::string seconds(Micros at) { return std::to_string((at - kStart) / kSecond); }
 
   void say_rebuilt() {
-    if (controller_->rebuilt() && rebuilt_ != controller_.get()) {
+    if (controller_->all_accounted_for() && rebuilt_ != controller_.get()) {
       rebuilt_ = controller_.get();
       out_.push_back("rebuilt");
     }
