--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -91,7 +91,7 @@
   /// Why the leader may not rent, return or move machines now; none: it may. Depends on the age of the watch,
   /// which the view of the machines comes from.
   place::StartRefusal leader_refusal() const;
-  /// The states of the owned shares, as reported to peers and to the leader.
+  /// Reports on the owned shares, as sent to peers and to the leader.
   std::vector<share::ShareReport> share_reports() const;
   share::Ownership& ownership() { return ownership_; }
   const share::Ownership& ownership() const { return ownership_; }
--- a/src/app/peer_service.h
+++ b/src/app/peer_service.h
@@ -38,7 +38,7 @@
         heartbeats_(platform.name, incarnation),
         cancellations_(platform.name, incarnation) {}
 
-  /// Called every half second and when the leader changes. Sends the full state of the owned shares to the
+  /// Called every half second and when the leader changes. Sends full reports on the owned shares to the
   /// leader and to peers that do not read heartbeats; to the others only which shares these are.
   void send_gossip();
   /// Called every quarter of a second: sends this node's own state to the peers that read heartbeats.
@@ -54,7 +54,7 @@
   void broadcast_cancellation(const std::string& job);
   /// Dispatches a frame of a peer; `reply` sends a frame back to it.
   void handle_frame(const share::Frame& frame, const share::PeerTransport::Reply& reply);
-  /// The states of all shares, as fresh as known here: of owned shares, and of others as reported recently.
+  /// Reports on all shares, as fresh as known here: of owned shares, and of others as received recently.
   std::vector<share::ShareReport> all_share_reports() const;
   /// All shares that have an owner were reported recently, or the other nodes have had the time to learn that
   /// this node leads. A leader that knows only its own shares would rent machines that other
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -195,7 +195,7 @@
                        // then they are committed one by one.
                        cancel_batch_ = code == 409 ? 1 : kCancelBatch;
                        if (code != 200) return;
-                       spdlog::info("cancelled {} jobs that need a cancelled job: {} ...", ids.size(),
+                       spdlog::info("cancelled {} jobs that depend on a cancelled job: {} ...", ids.size(),
                                     ids[0]);
                        for (const auto& id : ids) {
                          const auto* known = deps_.records.job(id);
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -552,7 +552,8 @@
 /// machine where that loses the least work and frees enough capacity for a task of the job.
 Placement::Preemption Placement::preempt_for(Job& j, Micros now, int min_availability) {
   std::int64_t missing = j.waiting();
-  // Tasks that are not accounted for may count against the guarantee, so it is used only on a rebuilt share.
+  // Tasks that are not accounted for may count against the guarantee, so it is used only once every
+  // machine is accounted for.
   const bool guaranteed = view_.all_accounted_for && quota_.within_guarantee(j);
   if (guaranteed && j.rank < Rank::high) {  // preempt other teams' work for the guaranteed part only
     const auto& g = quota_.team(j.spec->team)->guaranteed;
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -219,7 +219,7 @@
   const double goal = settings_.rnn.relative_goals ? run / (j.run_seconds / j.finished_runs) : run;
   placement_.rnn().learn(m.neuron, goal);
   if (spdlog::should_log(spdlog::level::debug))
-    spdlog::debug("learn {} goal {:.3f} threshold {:.3f} q {:.4f}", m.record.id, goal,
+    spdlog::debug("learned from a task on {}: goal {:.3f}, threshold {:.3f}, q {:.4f}", m.record.id, goal,
                   placement_.rnn().threshold(), placement_.rnn().q(m.neuron));
 }
 
