--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -68,7 +68,7 @@
           platform,
           {loop_, dependencies.workers, store_, records_, owned_shares_,
            [this](const wire::WorkerReport& r) {
-             return leader_.share_for(r.machine, r.type, owned_shares_.ownership().share_count());
+             return leader_.share_for_new_machine(r.machine, r.type, owned_shares_.ownership().share_count());
            },
            [this](const std::string& m) { leader_.machine_registered(m); },
            [this](int share) { return peer_service_.reported_owner(share); }, [this] { schedule_tick(); }}) {
@@ -82,7 +82,7 @@
                                  schedule_tick();
                                }});
   loop_.every(kTickInterval, [this] { tick(); });
-  owned_shares_.find_former_lease();
+  owned_shares_.find_and_revoke_former_lease();
   loop_.every(kGossipInterval, [this] { peer_service_.send_gossip(); });
   loop_.every(kHeartbeatInterval, [this] { peer_service_.send_heartbeats(); });
   loop_.every(kLeaderInterval, [this] { run_leader(); });
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -47,8 +47,8 @@
   }
 }
 
-int Leader::share_for(const std::string& machine, const std::string& type, int shares) {
-  return provisioner_ ? provisioner_->share_for(machine, type, shares) : 0;
+int Leader::share_for_new_machine(const std::string& machine, const std::string& type, int shares) {
+  return provisioner_ ? provisioner_->share_for_new_machine(machine, type, shares) : 0;
 }
 
 void Leader::machine_registered(const std::string& machine) {
--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -44,7 +44,7 @@
   void step_down() { provisioner_.reset(); }
 
   /// The share that a machine without a record should join.
-  int share_for(const std::string& machine, const std::string& type, int shares);
+  int share_for_new_machine(const std::string& machine, const std::string& type, int shares);
   /// The machine has a record now: it no longer counts as booting.
   void machine_registered(const std::string& machine);
 
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -87,12 +87,12 @@
   });
 }
 
-void OwnedShares::find_former_lease() {
+void OwnedShares::find_and_revoke_former_lease() {
   deps_.store.get(kNodePrefix + platform_.name, store::Urgency::accept,
                   [this](int code, const wire::Row& row) {
                     if (code == 404 || records().synced()) return;
                     if (code != 200)
-                      return deps_.loop.later(kRevokeRetryDelay, [this] { find_former_lease(); });
+                      return deps_.loop.later(kRevokeRetryDelay, [this] { find_and_revoke_former_lease(); });
                     try {
                       revoke_former_lease(row.value.at("lease").get<std::uint64_t>());
                     } catch (const std::exception& e) {
--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -60,7 +60,7 @@
   void revoke_former_lease(std::uint64_t lease);
   /// Reads this node's format row, which is on the lease of the former process, before everything else, and
   /// revokes that lease.
-  void find_former_lease();
+  void find_and_revoke_former_lease();
   /// Called before and after all rows of a full read are applied.
   void begin_key_reload() { ownership_.key_reread_started(); }
   void finish_key_reload() { ownership_.key_reread_finished(deps_.loop.now()); }
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -77,7 +77,7 @@
   m.type = report.type;
   m.zone = report.zone;
   m.spot = report.spot;
-  m.share = deps_.share_for(report);
+  m.share = deps_.share_for_new_machine(report);
   // A worker that has accepted a token executes only orders of a higher epoch.
   if (report.token > 0)
     m.epoch = std::max(deps_.owned_shares.highest_epoch(), share::epoch_of_token(report.token)) + 1;
--- a/src/app/worker_api.h
+++ b/src/app/worker_api.h
@@ -25,7 +25,7 @@
     Records& records;
     OwnedShares& owned_shares;
     /// The share that a machine without a record should join. Called on the leader only.
-    std::function<int(const wire::WorkerReport&)> share_for;
+    std::function<int(const wire::WorkerReport&)> share_for_new_machine;
     std::function<void(const std::string& machine)> machine_registered;
     /// The node that recently reported to own the share; empty: none.
     std::function<std::string(int share)> reported_owner;
--- a/src/fleet/provisioner.cpp
+++ b/src/fleet/provisioner.cpp
@@ -81,7 +81,7 @@
   }
 }
 
-int Provisioner::share_for(const std::string& machine, const std::string&, int shares) {
+int Provisioner::share_for_new_machine(const std::string& machine, const std::string&, int shares) {
   auto it = booting_.find(machine);
   if (it != booting_.end() && it->second.claimed_by_share >= 0) return it->second.claimed_by_share;
   // With fewer teams than shares, the last shares plan no team's jobs and could not use the machine.
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -96,7 +96,7 @@
   std::vector<Action> tick(Micros now, const std::vector<ShareReport>& shares,
                            const std::map<std::string, MachineRecord>& records);
   /// The share for a machine whose worker reports before the machine has a record; `shares` is their number.
-  int share_for(const std::string& machine, const std::string& type, int shares);
+  int share_for_new_machine(const std::string& machine, const std::string& type, int shares);
   /// The machine has a record now: it no longer counts as booting.
   void on_machine_registered(const std::string& machine) { booting_.erase(machine); }
   bool has_booting() const { return !booting_.empty(); }
