--- a/src/share/peer_frame.h
+++ b/src/share/peer_frame.h
@@ -19,8 +19,7 @@
 /// What the owner of a share reports to the leader.
 struct ShareReport {
   int share = 0;
-  bool all_accounted_for =
-      false;  // since acquiring the share, the owner has accounted for all of its machines
+  bool all_accounted_for = false;  // the owner has accounted for all machines since it acquired the share
   std::vector<Demand> demands;
   std::vector<MachineState> machines;
 };
