--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kCancelBatch = 8;
 constexpr Micros kFinishRetryDelay = 300 * kMillisecond;
 constexpr Micros kMoveRetryDelay = 100 * kMillisecond;
-constexpr Micros kMoveUnknownRetryDelay = kSecond;
+constexpr Micros kUnknownOutcomeRetryDelay = kSecond;
 constexpr Micros kChunkReadInterval = 2 * kSecond;
 
 std::string progress_key(int share, const std::string& job, std::uint32_t row) {
@@ -249,47 +249,48 @@
     moving_.erase(id);
     return;
   }
-  if (owned->key_version != key_version) return keep_unless_moved(std::move(m), from, generation);
+  if (owned->key_version != key_version) return cancel_move_unless_committed(std::move(m), from, generation);
   const auto urgency = m.share >= 0 ? store::Urgency::user : store::Urgency::background;
   std::vector<wire::Guard> guards{{kMachinePrefix + id, m.version}, {owner_key(from), key_version}};
   std::vector<wire::Write> writes{{kMachinePrefix + id, share::machine_to_json(m), {}, false}};
-  deps_.store.commit(std::move(guards), std::move(writes), urgency,
-                     [this, m = std::move(m), from, generation, key_version, maybe_executed](
-                         int code, std::uint64_t) mutable {
-                       const bool maybe_moved = code == 0 || code == 409 || maybe_executed;
-                       deps_.loop.later(code != 200 && maybe_moved ? kMoveUnknownRetryDelay : kMoveRetryDelay,
-                                        [this, m = std::move(m), from, generation, key_version, code,
-                                         maybe_moved]() mutable {
-                                          if (code == 200)
-                                            moving_.erase(m.id);
-                                          else if (maybe_moved)
-                                            commit_move(std::move(m), from, generation, key_version, true);
-                                          else
-                                            keep_machine(m.id, from);
-                                        });
-                     });
+  deps_.store.commit(
+      std::move(guards), std::move(writes), urgency,
+      [this, m = std::move(m), from, generation, key_version, maybe_executed](int code,
+                                                                              std::uint64_t) mutable {
+        const bool maybe_moved = code == 0 || code == 409 || maybe_executed;
+        deps_.loop.later(
+            code != 200 && maybe_moved ? kUnknownOutcomeRetryDelay : kMoveRetryDelay,
+            [this, m = std::move(m), from, generation, key_version, code, maybe_moved]() mutable {
+              if (code == 200)
+                moving_.erase(m.id);
+              else if (maybe_moved)
+                commit_move(std::move(m), from, generation, key_version, true);
+              else
+                cancel_move(m.id, from);
+            });
+      });
 }
 
 /// The owner key has changed, so no attempt can be executed any more. One may have been before without the
 /// watch having reported it, which a read of the machine's row from now on shows.
-void ResultWriter::keep_unless_moved(share::MachineRecord m, int from, std::uint64_t generation) {
+void ResultWriter::cancel_move_unless_committed(share::MachineRecord m, int from, std::uint64_t generation) {
   const std::string key = kMachinePrefix + m.id;
   deps_.store.get(key, store::Urgency::read,
                   [this, m = std::move(m), from, generation](int code, const wire::Row& row) mutable {
                     if (code == 200 && row.version == m.version && deps_.owned_shares.find(from, generation))
-                      return keep_machine(m.id, from);
+                      return cancel_move(m.id, from);
                     if (code == 200 || code == 404) {
                       moving_.erase(m.id);  // moved or deleted: the watch will report it
                       return;
                     }
                     deps_.loop.later(kMoveRetryDelay, [this, m = std::move(m), from, generation]() mutable {
-                      keep_unless_moved(std::move(m), from, generation);
+                      cancel_move_unless_committed(std::move(m), from, generation);
                     });
                   });
 }
 
 /// The machine certainly was not moved: it can be used again.
-void ResultWriter::keep_machine(const std::string& machine, int from) {
+void ResultWriter::cancel_move(const std::string& machine, int from) {
   moving_.erase(machine);
   if (auto* owned = deps_.owned_shares.find(from)) owned->controller->cancel_release(machine);
 }
--- a/src/app/result_writer.h
+++ b/src/app/result_writer.h
@@ -42,8 +42,8 @@
   void write_progress();
   void commit_move(share::MachineRecord machine, int from, std::uint64_t generation,
                    std::uint64_t key_version, bool maybe_executed);
-  void keep_unless_moved(share::MachineRecord machine, int from, std::uint64_t generation);
-  void keep_machine(const std::string& machine, int from);
+  void cancel_move_unless_committed(share::MachineRecord machine, int from, std::uint64_t generation);
+  void cancel_move(const std::string& machine, int from);
   void read_chunks_of_other_shares();
   void reread_progress_version(int share, std::uint64_t generation,
                                const share::ShareController::ProgressWrite& write);
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -109,17 +109,19 @@
   }
 }
 
-void WorkerApi::push(int share, std::uint64_t generation, const share::ShareController::OrderPush& batch) {
+void WorkerApi::push(int share, std::uint64_t generation,
+                     const share::ShareController::OrderPush& order_push) {
   wire::Endpoint to;
   try {
-    to = wire::parse_endpoint(batch.address);
+    to = wire::parse_endpoint(order_push.address);
   } catch (const wire::Malformed&) {
     return;
   }
   ++pushes_in_flight_;
   deps_.workers.request(
-      net::Method::post, to, "/do", wire::direct_orders(batch.token, batch.session, batch.orders),
-      kPushTimeout, [this, share, generation, machine = batch.machine](int code, const std::string& body) {
+      net::Method::post, to, "/do",
+      wire::direct_orders(order_push.token, order_push.session, order_push.orders), kPushTimeout,
+      [this, share, generation, machine = order_push.machine](int code, const std::string& body) {
         on_push_done(share, generation, machine, code, body);
       });
 }
--- a/src/app/worker_api.h
+++ b/src/app/worker_api.h
@@ -47,7 +47,7 @@
   void register_machine(const net::ExchangePtr& exchange, const wire::WorkerReport& report);
   void refuse_or_redirect(const net::ExchangePtr& exchange, int share, const std::string& key_owner,
                           const char* reason) const;
-  void push(int share, std::uint64_t generation, const share::ShareController::OrderPush& batch);
+  void push(int share, std::uint64_t generation, const share::ShareController::OrderPush& order_push);
   void on_push_done(int share, std::uint64_t generation, const std::string& machine, int code,
                     const std::string& body);
 
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -146,14 +146,14 @@
 }
 
 ShareController::AttributionCounts ShareController::attribution_counts() const {
-  AttributionCounts now = attribution_counts_;
-  now.unattributed_attempts = view_.unattributed;
+  AttributionCounts counts = attribution_counts_;
+  counts.unattributed_attempts = view_.unattributed;
   for (const Machine* m : view_.machines_by_id)
     for (const auto& [task, result] : m->results)
       if (disposition_of(task.first) == JobDisposition::not_known &&
           result_copy_needed(task, result.first_reported))
-        ++now.unattributed_results;
-  return now;
+        ++counts.unattributed_results;
+  return counts;
 }
 
 }  // namespace aspenwick::share
