--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -289,7 +289,7 @@
                   });
 }
 
-/// The machine certainly was not moved: it can be used again.
+/// The machine certainly was not moved: its share may use it again.
 void ResultWriter::cancel_move(const std::string& machine, int from) {
   moving_.erase(machine);
   if (auto* owned = deps_.owned_shares.find(from)) owned->controller->cancel_release(machine);
--- a/src/place/cluster_view.h
+++ b/src/place/cluster_view.h
@@ -90,7 +90,7 @@
 
 /// An attempt of a task that is, or may be, on a machine.
 struct TaskAttempt {
-  Job* job = nullptr;  // null: unattributed, or not an attempt that one of our jobs wants, to be halted
+  Job* job = nullptr;         // null: unattributed, or no job of this share needs it and it is to be halted
   bool unattributed = false;  // reported before its job's record was read, so its needs are not known
   Machine* machine = nullptr;
   std::string job_id;
--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -199,7 +199,7 @@
 }
 
 /// Considers all former owners that may still renew, not only the last one: that one may have ended shortly
-/// after taking the share from an owner that is partitioned from the others and still answers its workers.
+/// after acquiring the share from an owner that is partitioned from the others and still answers its workers.
 Micros Ownership::former_owners_renew_until(int share, Micros now) const {
   Micros until = now;
   const auto formers = former_owners_.find(share);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -318,10 +318,10 @@
         b.echo_incarnation = static_cast<std::uint64_t>(number("of", kIncarnation));
         b.echo_timestamp = static_cast<std::uint64_t>(kStart + from_seconds(number("echo", 0)));
       }
-      const auto reception = heartbeats_.receive(b, now_);
-      if (reception.state) own_.peer_reported(b.node, *reception.state);
-      if (reception.state) out_.push_back("said at " + seconds(reception.state->reported_at));
-      if (reception.reply_needed) out_.push_back("answer at once");
+      const auto heard = heartbeats_.receive(b, now_);
+      if (heard.state) own_.peer_reported(b.node, *heard.state);
+      if (heard.state) out_.push_back("said at " + seconds(heard.state->reported_at));
+      if (heard.reply_needed) out_.push_back("answer at once");
     } else if (event == "renewable") {
       out_.push_back("for " + std::to_string((renewable_until() - now_) / kSecond) + " s");
     } else if (event == "reading") {
