--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -22,13 +22,14 @@
   Micros idle_gpu_after = 20 * kSecond;       // with GPUs, which cost many times as much
   Micros idle_spot_gpu_after = 45 * kSecond;  // spot with GPUs: cheap, and it keeps its images cached
   Micros lapsed_after = 8 * kSecond;          // an empty machine whose worker's lease lapsed is returned
-  Micros refused_for = 12 * kSecond;          // an offer that the cloud refused isn't requested again
+  Micros refused_for = 12 * kSecond;          // an offer that the cloud refused is not requested again
   Micros drain_interval = 1 * kSecond;  // between rounds of drains, for high-rank work and of GPU machines
   double expensive_price_factor = 3;    // offers above this multiple of the cheapest are for urgent work only
-  // A machine that hasn't reported after `factor` nominal boot times plus `extra` is deleted.
+  // A machine that has not reported after `straggler_factor` nominal boot times plus `straggler_extra` is
+  // deleted.
   double straggler_factor = 2.5;
   Micros straggler_extra = 15 * kSecond;
-  Micros min_idle_before_move = kSecond;  // an empty machine isn't moved to another share before
+  Micros min_idle_before_move = kSecond;  // an empty machine is not moved to another share before
   // Backlog per running task (time to finish it at the current rate) above which a share gets machines of
   // shares with less; 0: never.
   Micros level_above = 60 * kSecond;
@@ -49,7 +50,7 @@
 struct MoveMachine {
   std::string machine;
   int from = 0, to = -1;
-  bool drain = false;                 // the machine isn't empty: place nothing more, release it once empty
+  bool drain = false;                 // the machine is not empty: place nothing more, release it once empty
   wire::Rank rank = wire::Rank::low;  // with `drain`: tasks below it are stopped; low: none
 };
 /// Delete machines at the cloud.
@@ -72,7 +73,7 @@
   std::uint64_t epoch_ = 0, count_ = 0;
 };
 
-/// Plans capacity for one term of leadership. `platform` and `types` must outlive it, and `types` mustn't
+/// Plans capacity for one term of leadership. `platform` and `types` must outlive it, and `types` must not
 /// change. Machines are identified by their cloud ids.
 class Provisioner {
  public:
@@ -145,7 +146,7 @@
     Micros now = 0;
     std::vector<MachineCapacity> capacities;
     std::vector<PendingDemand> pending_demands;
-    std::set<int> shares_short_of_capacity;  // whose own machines can't hold all their demands
+    std::set<int> shares_short_of_capacity;  // whose own machines cannot hold all their demands
     /// A share's deferrable work, summed in order of rank and slack up to the demand in progress.
     struct Backlog {
       double task_seconds = 0;
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -30,7 +30,7 @@
 }
 
 void Provisioner::claim_booting_machines(Plan& plan, PendingDemand& pending) {
-  // The share's earlier claims first: if claims changed between ticks, machines would join shares that don't
+  // The share's earlier claims first: if claims changed between ticks, machines would join shares that do not
   // need them.
   for (const bool own : {true, false})
     for (auto& machine : plan.capacities) {
@@ -98,7 +98,7 @@
 /// unused for kMinUnusedTime, as there is always some for a moment between two tasks. Machines with
 /// production tasks are left out: these mostly run for good, so a drain would only keep the rest idle.
 /// (Without these two rules, compact work on the largest fleet met fewer deadlines; which of the two matters
-/// isn't known.) For work that needs no GPU, so are machines with GPUs in use, which would be idle after the
+/// is not known.) For work that needs no GPU, so are machines with GPUs in use, which would be idle after the
 /// drain, all for a few CPUs.
 bool Provisioner::has_unused_capacity_for(const MachineCapacity& machine,
                                           const PendingDemand& pending) const {
--- a/src/fleet/provisioner_renting.cpp
+++ b/src/fleet/provisioner_renting.cpp
@@ -1,4 +1,4 @@
-// Satisfies demands, gangs included, and rents machines for what the existing ones can't hold: which offers,
+// Satisfies demands, gangs included, and rents machines for what the existing ones cannot hold: which offers,
 // and how much deferrable work can wait instead.
 #include <algorithm>
 #include <cmath>
@@ -18,7 +18,7 @@
 
 // ---------------------------------------------------------------- renting
 
-/// Offers for the demand that the cloud hasn't refused recently, the cheapest per task first. `only_zone`:
+/// Offers for the demand that the cloud has not refused recently, the cheapest per task first. `only_zone`:
 /// empty for all zones.
 std::vector<Provisioner::Offer> Provisioner::available_offers(const PendingDemand& pending, Micros now,
                                                               const std::string& only_zone) const {
@@ -60,7 +60,7 @@
 
 /// How many of the remaining tasks to rent machines for. Deferrable work runs in several rounds on fewer
 /// machines; expensive ones are rented only for what the other machines, serving the least slack first,
-/// wouldn't finish in time. This sums over the share's backlog: each job by itself would ask for several
+/// would not finish in time. This sums over the share's backlog: each job by itself would ask for several
 /// times as much, though later jobs use the machines of earlier ones.
 std::uint32_t Provisioner::tasks_needing_capacity(const Plan& plan, const PendingDemand& pending,
                                                   bool expensive) const {
--- a/src/job/graph.h
+++ b/src/job/graph.h
@@ -2,7 +2,7 @@
 // it is fed each job's record as the state service holds it, in any order.
 //
 // Invariant: a job is ready only once every job that it depends on is recorded as done. An owner's own state
-// or a peer's message isn't enough. As done and cancelled are both final, a ready job has no dependency left
+// or a peer's message is not enough. As done and cancelled are both final, a ready job has no dependency left
 // that could be cancelled, and a job that depends on a cancelled one can never become ready.
 //
 // A job is undecided while it is queued and none of its dependencies is cancelled.
@@ -31,7 +31,7 @@
 /// Keeps a node for each job that has dependencies or dependents. Not thread-safe.
 class DependencyGraph {
  public:
-  /// Returns any job's record, or null if it isn't known. Only called during update().
+  /// Returns any job's record, or null if it is not known. Only called during update().
   using RecordLookup = std::function<const JobRecord*(const std::string&)>;
   explicit DependencyGraph(RecordLookup lookup) : lookup_(std::move(lookup)) {}
 
--- a/src/job/record.h
+++ b/src/job/record.h
@@ -31,7 +31,7 @@
 JobRecord record_from_json(const wire::Json& j,
                            std::uint64_t version);  // throws Malformed or Json::exception
 
-/// A record's value, and the values of the rows that hold the spec's text if it doesn't fit there.
+/// A record's value, and the values of the rows that hold the spec's text if it does not fit there.
 struct RecordRows {
   wire::Json value;
   std::vector<std::string> parts;
@@ -46,7 +46,7 @@
 /// Machine types as one value of at most `limit` bytes (`s/types`), or as several that each give their
 /// number.
 std::vector<wire::Json> types_to_rows(const std::vector<wire::MachineType>& types, std::size_t limit);
-/// Drops allowed machine types that don't exist or can't hold a task. They have no effect, and a submission
+/// Drops allowed machine types that do not exist or cannot hold a task. They have no effect, and a submission
 /// may name many of them.
 void keep_usable_types(JobSpec& spec, const std::vector<wire::MachineType>& types);
 
@@ -61,7 +61,7 @@
 
   explicit DoneSet(std::uint32_t tasks = 0) : bits_(tasks) {}
   bool test(std::uint32_t i) const { return i < bits_.size() && bits_[i]; }
-  bool set(std::uint32_t i);  // true if it wasn't in the set yet
+  bool set(std::uint32_t i);  // true if it was not in the set yet
   std::uint32_t count() const { return count_; }
   bool all() const { return count_ == bits_.size(); }
   std::uint32_t chunks() const {
--- a/src/place/decision.h
+++ b/src/place/decision.h
@@ -20,7 +20,7 @@
   job_over,        // as never_sent, and its job is done or cancelled
   done,            // it exited and its task is done
   exited,          // it exited for any other reason
-  not_listed,      // a newer report of its machine doesn't list it
+  not_listed,      // a newer report of its machine does not list it
   fenced,          // its start was pushed without an answer, and the worker has since seen a higher token
   push_refused,    // the worker refused the push that would have started it
   replaced,        // its machine reports another attempt of the task
@@ -43,7 +43,7 @@
   lease_not_valid,        // we may no longer own the share
   records_stale,          // the job may have been cancelled since its records were read
   share_handed_over,      // the share is being handed over to another owner
-  pushes_lost,            // pushed orders don't reach the machine: starts are sent in answers to its reports
+  pushes_lost,            // pushed orders do not reach the machine: starts are sent in answers to its reports
   machine_not_accounted,  // what runs on the machine is not known yet
   // Permanent: the start would break an invariant.
   job_over,
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -60,7 +60,7 @@
   Resources free;
   bool usable = false;       // tasks may be placed on it now
   bool empty = false;        // may leave the share: holds no attempts and no results that are still needed
-  bool worker_lost = false;  // its lease expired, or messages don't reach its worker for longer than a lease
+  bool worker_lost = false;  // its lease expired, or messages do not reach its worker for longer than a lease
   bool suspect = false;
   std::uint32_t idle_ms = 0;
   wire::Rank highest_rank = wire::Rank::low;  // highest rank among its tasks
@@ -167,7 +167,7 @@
   static constexpr int kMaxLostPushes = 2;
   /// Name of a progress row below its job: "<chunk>" or "u/<unit>". parse_row_name takes "<job>/<chunk>" or
   /// "<job>/u/<unit>" and returns the job and the row; nothing if the name is malformed. The first version of
-  /// the controller takes a unit's row for one of a job "<job>/u" that it doesn't know.
+  /// the controller takes a unit's row for one of a job "<job>/u" that it does not know.
   static std::string row_name(std::uint32_t row);
   static std::optional<std::pair<std::string, std::uint32_t>> parse_row_name(const std::string& name);
   /// `version`: the row's version after the write, or as found if the write failed.
@@ -193,7 +193,7 @@
     Micros oldest_age = 0;
   };
   HeldResults held_results(Micros now) const;
-  /// Chunks of unfinished jobs that this share doesn't plan but of which its machines hold results. The jobs
+  /// Chunks of unfinished jobs that this share does not plan but of which its machines hold results. The jobs
   /// belong to other shares, or were not ready yet when last read.
   std::set<std::pair<std::string, std::uint32_t>> needed_chunks_of_other_shares() const;
   /// `text`: what the owner of another share has recorded of such a chunk.
@@ -218,7 +218,7 @@
 
   // ---- queries
 
-  /// Numbers of done and of running tasks of a job; nothing if this share doesn't plan it.
+  /// Numbers of done and of running tasks of a job; nothing if this share does not plan it.
   std::optional<std::pair<std::uint32_t, std::uint32_t>> task_counts(const std::string& job) const;
   /// Waiting work and machines, as reported to the leader.
   std::vector<Demand> demands(Micros now) const;
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -1,5 +1,5 @@
 // ShareController: assigns the attempts and results that machines report to their jobs. A report may arrive
-// before its job's record has been read, so a missing record doesn't mean that the job doesn't exist. Until
+// before its job's record has been read, so a missing record does not mean that the job does not exist. Until
 // the job records are known as of a time after the report, the attempt stays listed on its machine as
 // unattributed: nothing else is placed on that machine, and the attempt's task is not placed anywhere.
 #include <spdlog/spdlog.h>
@@ -128,7 +128,7 @@
 }
 
 /// Handles unattributed attempts whose jobs, by the records read since, have ended, belong to another share
-/// or don't exist.
+/// or do not exist.
 void ShareController::resolve_unattributed_attempts(Micros now) {
   if (view_.unattributed == 0) return;
   for (Machine* m : view_.machines_by_id) {
--- a/src/share/share_controller_orders.cpp
+++ b/src/share/share_controller_orders.cpp
@@ -103,7 +103,7 @@
     if (!wanted || m.push_in_flight || now < m.next_push_at || m.record.address.empty()) continue;
     if (m.accounted_for && !m.up) continue;
     OrderPush push{m.record.id, m.record.address, 0, m.session, {}};
-    // If pushes don't reach the machine, tasks are started only in answers to its reports. If starts were
+    // If pushes do not reach the machine, tasks are started only in answers to its reports. If starts were
     // pushed first and fenced each time, a task would never start in a network where only the workers can
     // open connections to the nodes (tests/node_test.cpp). A push without starts checks whether pushes arrive
     // again, and repeats halt orders.
