--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -259,7 +259,7 @@
       r.seq += 1, r.token = std::uint64_t{2} << place::kEpochShift;
       controller.on_report(r, before.now, place::StartRefusal::none);
     }
-    if (!controller.rebuilt()) state.SkipWithError("not all machines are accounted for");
+    if (!controller.all_accounted_for()) state.SkipWithError("not all machines are accounted for");
     state.counters["heap_MB"] = static_cast<double>(mallinfo2().uordblks - heap) / 1e6;  // of this controller
   }
 }
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kWorkerReportTimeout =
     4 * kSecond;  // how long a worker waits for the answer to a report, also during a pause of ours
 constexpr Micros kOwnershipInterval = 200 * kMillisecond;
-constexpr Micros kReplanInterval = 5 * kSecond;
+constexpr Micros kSchedulingGoalsInterval = 5 * kSecond;
 constexpr Micros kMetricsInterval = 10 * kSecond;
 
 /// Lists the reasons with a count above 0.
@@ -55,7 +55,7 @@
            [this](const share::StatusReply& t) { job_api_.on_peer_status(t); }, [this] { schedule_tick(); }}),
       leader_(platform, operator_settings.renting, records_.types(), records_.machines(),
               {[this] { return loop_.now(); }, dependencies.http,
-               [this] { return peer_service_.all_share_states(); },
+               [this] { return peer_service_.all_share_reports(); },
                [this](const auto& types) { records_.write_types(types); },
                [this](const fleet::MoveMachine& move) { peer_service_.execute_move(move); },
                [this](const auto& ids) { records_.delete_machines(ids); }}),
@@ -68,7 +68,7 @@
           platform,
           {loop_, dependencies.workers, store_, records_, owned_shares_,
            [this](const wire::WorkerReport& r) {
-             return leader_.share_for(r.machine, r.type, owned_shares_.ownership().share_count());
+             return leader_.share_for_new_machine(r.machine, r.type, owned_shares_.ownership().share_count());
            },
            [this](const std::string& m) { leader_.machine_registered(m); },
            [this](int share) { return peer_service_.reported_owner(share); }, [this] { schedule_tick(); }}) {
@@ -82,12 +82,12 @@
                                  schedule_tick();
                                }});
   loop_.call_every(kTickInterval, [this] { tick(); });
-  owned_shares_.find_former_lease();
+  owned_shares_.find_and_revoke_former_lease();
   loop_.call_every(kGossipInterval, [this] { peer_service_.send_gossip(); });
   loop_.call_every(kHeartbeatInterval, [this] { peer_service_.send_heartbeats(); });
   loop_.call_every(kLeaderInterval, [this] { run_leader(); });
   loop_.call_every(kOwnershipInterval, [this] { owned_shares_.tick(); });
-  loop_.call_every(kReplanInterval, [this] { replan_jobs(); });
+  loop_.call_every(kSchedulingGoalsInterval, [this] { update_scheduling_goals(); });
   loop_.call_every(kMetricsInterval, [this] { log_metrics(); });
 }
 
@@ -218,8 +218,8 @@
   spdlog::info("process paused for {:.1f} s", to_seconds(since_last - kLeaderInterval));
 }
 
-void Controller::replan_jobs() {
-  records_.replan();
+void Controller::update_scheduling_goals() {
+  records_.recompute_finish_times();
   records_.publish_graph_changes();
 }
 
--- a/src/app/job_api.cpp
+++ b/src/app/job_api.cpp
@@ -13,9 +13,9 @@
 namespace {
 constexpr Micros kPeerAnswerTimeout = 300 * kMillisecond;
 constexpr Micros kConfirmPollInterval = 10 * kMillisecond;
-constexpr int kMaxLookups = 32;  // of needed jobs that are not known here, for one submission
+constexpr int kMaxLookups = 32;  // of dependencies that are not known here, for one submission
 constexpr std::size_t kMaxCachedTaskCounts = 4096;  // entries; all are dropped when the cache is full
-constexpr int kMaxCancelTries = 3;                  // attempts when the record is changed elsewhere meanwhile
+constexpr int kMaxCancelAttempts = 3;               // attempts when the record is changed elsewhere meanwhile
 constexpr std::size_t kMaxTransactionBytes = 40'000;  // of parts; a transaction may take 64 KiB in all
 }  // namespace
 
@@ -31,16 +31,16 @@
 
 void JobApi::cancel(const ExchangePtr& exchange, const std::string& id) {
   ++request_count_;
-  cancel(exchange, id, kMaxCancelTries);
+  cancel(exchange, id, kMaxCancelAttempts);
 }
 
-void JobApi::on_peer_status(const share::StatusReply& tell) {
-  auto it = pending_status_.find(tell.request);
+void JobApi::on_peer_status(const share::StatusReply& reply) {
+  auto it = pending_status_.find(reply.request);
   if (it == pending_status_.end()) return;
   const PendingStatus pending_status = std::move(it->second);
   pending_status_.erase(it);
   // While a share changes hands, its new owner may not know the job yet and has nothing to report of it.
-  if (tell.known) cache_task_counts(pending_status.job, {tell.done, tell.running});
+  if (reply.known) cache_task_counts(pending_status.job, {reply.done, reply.running});
   answer_with_status(pending_status.exchange, 200, pending_status.job);
 }
 
@@ -62,15 +62,15 @@
 /// If the job is final, answers with that, now or soon, and returns true.
 bool JobApi::answer_if_final(const ExchangePtr& exchange, const std::string& id) {
   const auto* known = deps_.records.job(id);
-  // A job that needs a cancelled job is reported as cancelled as soon as that cancellation is known here; its
+  // A job that depends on a cancelled job is reported as cancelled as soon as that is known here; its
   // own record follows.
-  const bool doomed = deps_.records.graph().has_cancelled_dependency(id);
-  if (!doomed && !(known && known->final())) return false;
+  const bool dependency_cancelled = deps_.records.graph().has_cancelled_dependency(id);
+  if (!dependency_cancelled && !(known && known->final())) return false;
   task_counts_.erase(id);
   const JobStatus status = known && known->final() ? known->status : JobStatus::cancelled;
-  // A job that needs a cancelled job never had tasks. The owner of any other cancelled job may still start
-  // tasks of it until it knows of the cancellation.
-  if (status == JobStatus::cancelled && !doomed && !deps_.may_confirm_cancellation(id))
+  // A job that depends on a cancelled job never had tasks. The owner of any other cancelled job may still
+  // start tasks of it until it knows of the cancellation.
+  if (status == JobStatus::cancelled && !dependency_cancelled && !deps_.may_confirm_cancellation(id))
     confirm_cancellation(exchange, id, deps_.loop.now() + kPeerAnswerTimeout);
   else
     exchange->answer(200, wire::status_body(id, status));
@@ -127,16 +127,16 @@
   job::keep_usable_types(spec, deps_.records.types());
   submission->record.spec = std::make_shared<const wire::JobSpec>(std::move(spec));
   submission->record.submitted = deps_.loop.time_of_day();
-  check_needed_jobs(submission);
+  check_dependencies(submission);
 }
 
-/// Each needed job must have been accepted. A job that is not known here may just have been accepted by
+/// Each dependency must have been accepted. A job that is not known here may just have been accepted by
 /// another node, so only the answer of the state service counts.
-void JobApi::check_needed_jobs(const std::shared_ptr<Submission>& submission) {
+void JobApi::check_dependencies(const std::shared_ptr<Submission>& submission) {
   static const std::string kNeedsServiceError = "a job cannot need a service, which is never done";
   const auto& needs = submission->record.spec->dependencies;
-  for (; submission->next_needed_job < needs.size(); ++submission->next_needed_job) {
-    const std::string& id = needs[submission->next_needed_job];
+  for (; submission->next_dependency < needs.size(); ++submission->next_dependency) {
+    const std::string& id = needs[submission->next_dependency];
     if (const auto* known = deps_.records.job(id)) {
       if (known->spec && known->spec->shape == wire::Shape::service)
         return reject(submission->exchange, 422, submission->record.spec->id, kNeedsServiceError);
@@ -158,8 +158,8 @@
             spdlog::error("cannot read job record {}: {}", id, e.what());
             return answer_retry(submission->exchange, "the job record cannot be read");
           }
-          ++submission->next_needed_job;
-          check_needed_jobs(submission);
+          ++submission->next_dependency;
+          check_dependencies(submission);
         });
     return;
   }
@@ -207,8 +207,8 @@
                          deps_.records.update_job(id, submission->record);
                          deps_.records.publish_graph_changes();
                          deps_.schedule_tick();
-                         // The answer of the state service may have been late: other nodes may have told the
-                         // user meanwhile that the job is over.
+                         // The answer of the state service may have been late: other nodes may have reported
+                         // to the user meanwhile that the job is over.
                          return answer_with_status(submission->exchange, 201, id);
                        }
                        // Without an answer the record may exist and need its parts. The same holds on a
@@ -244,7 +244,8 @@
   // A job that is not final here may have become so elsewhere, which only a fresh read can rule out. The read
   // covers all records at once and is shared by all requests that arrive meanwhile: with a read for each
   // poll, a node that served all users used more than its part of the request rate, and the users waited
-  // longer than they do now. A job that needs others may in any case be cancelled by a record far above it.
+  // longer than they do now. A job with dependencies may in any case be cancelled by the record of an
+  // indirect one.
   deps_.records.refresh_jobs([this, exchange, id](bool ok) {
     if (!ok) return answer_retry(exchange, "the state service is not available");
     const auto* known = deps_.records.job(id);
@@ -290,12 +291,13 @@
   answer_with_status(exchange, 200, id);
 }
 
-void JobApi::cancel(const ExchangePtr& exchange, const std::string& id, int tries) {
+void JobApi::cancel(const ExchangePtr& exchange, const std::string& id, int attempts_left) {
   if (answer_if_final(exchange, id)) return;
-  if (!deps_.records.synced() || tries == 0)
+  if (!deps_.records.synced() || attempts_left == 0)
     return answer_retry(exchange, "the job record cannot be changed now");
   deps_.store.get(
-      kJobPrefix + id, store::Urgency::accept, [this, exchange, id, tries](int code, const wire::Row& row) {
+      kJobPrefix + id, store::Urgency::accept,
+      [this, exchange, id, attempts_left](int code, const wire::Row& row) {
         if (code == 404) return exchange->answer(404, wire::error_body("no such job"));
         if (code != 200) return answer_retry(exchange, "the state service is not available");
         job::JobRecord record;
@@ -306,7 +308,7 @@
           return answer_retry(exchange, "the job record cannot be read");
         }
         if (record.final()) {
-          // A node that tells a user of a cancellation has to know it from then on, and to tell
+          // A node that reports a cancellation to a user must know it from then on, and report it to
           // its peers.
           deps_.records.update_job(id, std::move(record));
           deps_.records.publish_graph_changes();
@@ -322,8 +324,8 @@
             {{kJobPrefix + id, row.version}},
             {{kJobPrefix + id, job::cancelled_record_json(record, platform_.value_size_limit()), {}, false}},
             store::Urgency::accept,
-            [this, exchange, id, tries, record](int commit_status, std::uint64_t revision) mutable {
-              if (commit_status == 409) return cancel(exchange, id, tries - 1);
+            [this, exchange, id, attempts_left, record](int commit_status, std::uint64_t revision) mutable {
+              if (commit_status == 409) return cancel(exchange, id, attempts_left - 1);
               if (commit_status != 200)
                 return answer_retry(exchange, "the cancellation could not be recorded");
               record.version = revision;
--- a/src/app/job_api.h
+++ b/src/app/job_api.h
@@ -1,5 +1,5 @@
-// User requests: submissions, status, cancellations. A user is told only of what is committed, and never of a
-// state older than one that any node may have told.
+// User requests: submissions, status, cancellations. A user is told only of committed states, and never of a
+// state older than one that any node may have reported.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -27,9 +27,9 @@
     share::PeerTransport& peers;
     Records& records;
     OwnedShares& owned_shares;
-    /// Tells the peers of a cancellation that this node has committed, ahead of the watch.
+    /// Notifies the peers of a cancellation that this node has committed, without waiting for their watch.
     std::function<void(const std::string& job)> announce_cancellation;
-    /// Users may be told that the job is cancelled.
+    /// Whether users may be told that the job is cancelled.
     std::function<bool(const std::string& job)> may_confirm_cancellation;
     std::function<void()> schedule_tick;
   };
@@ -41,15 +41,15 @@
   void cancel(const net::ExchangePtr& exchange, const std::string& id);
 
   /// Handles the answer of a peer that was asked for the status of a job of its share.
-  void on_peer_status(const share::StatusReply& tell);
+  void on_peer_status(const share::StatusReply& reply);
   std::uint64_t request_count() const { return request_count_; }
 
  private:
-  /// A submission in progress: first the jobs that it needs are looked up, then its rows are written.
+  /// A submission in progress: first its dependencies are looked up, then its rows are written.
   struct Submission {
     net::ExchangePtr exchange;
     job::JobRecord record;
-    std::size_t next_needed_job = 0;
+    std::size_t next_dependency = 0;
     int lookups = 0;
     job::RecordRows rows;
     std::string tag;
@@ -61,7 +61,7 @@
     std::string job;
   };
 
-  void check_needed_jobs(const std::shared_ptr<Submission>& submission);
+  void check_dependencies(const std::shared_ptr<Submission>& submission);
   void accept(const std::shared_ptr<Submission>& submission);
   void write_record(const std::shared_ptr<Submission>& submission);
   void handle_duplicate(const std::shared_ptr<Submission>& submission);
@@ -73,7 +73,7 @@
   void cache_task_counts(const std::string& id, TaskCounts counts);
   void look_up_job(const net::ExchangePtr& exchange, const std::string& id);
   void answer_with_task_counts(const net::ExchangePtr& exchange, const std::string& id);
-  void cancel(const net::ExchangePtr& exchange, const std::string& id, int tries);
+  void cancel(const net::ExchangePtr& exchange, const std::string& id, int attempts_left);
   void answer_retry(const net::ExchangePtr& exchange, const std::string& reason);
 
   const wire::PlatformSettings& platform_;
--- a/src/app/leader.h
+++ b/src/app/leader.h
@@ -21,7 +21,7 @@
     std::function<Micros()> now;  // steady clock
     net::Requester& http;
     /// Waiting work and machines of all shares, as fresh as known here.
-    std::function<std::vector<share::ShareReport>()> share_states;
+    std::function<std::vector<share::ShareReport>()> share_reports;
     /// Called with the machine types when they were read for the first time and are to be recorded.
     std::function<void(const std::vector<wire::MachineType>&)> types_fetched;
     std::function<void(const fleet::MoveMachine&)> move_machine;
@@ -44,7 +44,7 @@
   void step_down() { provisioner_.reset(); }
 
   /// The share that a machine without a record should join.
-  int share_for(const std::string& machine, const std::string& type, int shares);
+  int share_for_new_machine(const std::string& machine, const std::string& type, int shares);
   /// The machine has a record now: it no longer counts as booting.
   void machine_registered(const std::string& machine);
 
@@ -61,7 +61,7 @@
   Dependencies deps_;
   std::unique_ptr<fleet::Provisioner> provisioner_;
   std::uint64_t epoch_ = 0;
-  fleet::RentalIdempotencyKeys request_names_;
+  fleet::RentalIdempotencyKeys idempotency_keys_;
   bool fetching_types_ = false, listing_ = false;
   Micros next_list_ = 0, next_price_fetch_ = 0, last_refill_ = 0;
   double call_budget_ = 1;  // calls that the rate limit allows now
--- a/src/app/owned_shares.cpp
+++ b/src/app/owned_shares.cpp
@@ -87,23 +87,23 @@
   });
 }
 
-void OwnedShares::find_former_lease() {
-  deps_.store.get(kNodePrefix + platform_.name, store::Urgency::accept,
-                  [this](int code, const wire::Row& row) {
-                    if (code == 404 || records().synced()) return;
-                    if (code != 200)
-                      return deps_.loop.call_later(kRevokeRetryDelay, [this] { find_former_lease(); });
-                    try {
-                      revoke_former_lease(row.value.at("lease").get<std::uint64_t>());
-                    } catch (const std::exception& e) {
-                      spdlog::error("cannot read state service row {}: {}", row.key, e.what());
-                    }
-                  });
+void OwnedShares::find_and_revoke_former_lease() {
+  deps_.store.get(
+      kNodePrefix + platform_.name, store::Urgency::accept, [this](int code, const wire::Row& row) {
+        if (code == 404 || records().synced()) return;
+        if (code != 200)
+          return deps_.loop.call_later(kRevokeRetryDelay, [this] { find_and_revoke_former_lease(); });
+        try {
+          revoke_former_lease(row.value.at("lease").get<std::uint64_t>());
+        } catch (const std::exception& e) {
+          spdlog::error("cannot read state service row {}: {}", row.key, e.what());
+        }
+      });
 }
 
 void OwnedShares::on_records_refreshed() {
-  ownership_.records_read(records().records_as_of());
-  for (auto& [share, owned] : owned_) owned.controller->records_read(records().records_as_of());
+  ownership_.set_records_as_of(records().records_as_of());
+  for (auto& [share, owned] : owned_) owned.controller->set_records_as_of(records().records_as_of());
 }
 
 // ---------------------------------------------------------------- owners
@@ -135,8 +135,8 @@
     const int share_index = share;
     share::ShareController& controller = *owned.controller;
     auto add_or_update = [&controller, share_index, now,
-                          taken = owned.acquired_version](const share::MachineRecord& m) {
-      if (m.share == share_index) controller.on_machine_record(m, m.version > taken, now);
+                          since_version = owned.acquired_version](const share::MachineRecord& m) {
+      if (m.share == share_index) controller.on_machine_record(m, m.version > since_version, now);
     };
     for (const auto& id : changed) {
       const auto* m = records().machine(id);
@@ -197,30 +197,30 @@
 /// Reads the progress rows that former owners of the share wrote; retried until the state service answers.
 void OwnedShares::load_progress(int share, std::uint64_t generation) {
   const std::string prefix = kProgressPrefix + std::to_string(share) + "/";
-  deps_.store.list(
-      prefix, [this, share, generation, prefix](bool ok, const std::vector<wire::Row>& rows, std::uint64_t) {
-        OwnedShare* owned = find(share, generation);
-        if (!owned) return;
-        if (!ok)
-          return deps_.loop.call_later(kLoadRetryDelay,
-                                       [this, share, generation] { load_progress(share, generation); });
-        std::vector<std::string> obsolete_keys;
-        for (const auto& r : rows) {
-          const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
-          if (!name || !r.value.is_string()) continue;
-          if (const auto* j = records().job(name->first); j && j->final()) obsolete_keys.push_back(r.key);
-          owned->controller->load_done(name->first, name->second, r.value.get<std::string>(), r.version);
-        }
-        deps_.records.delete_keys(
-            std::move(obsolete_keys));  // left by an owner that ended, or by a version without unit rows
-        owned->controller->finish_loading(deps_.loop.now());
-        deps_.schedule_tick();
-      });
+  deps_.store.list(prefix, [this, share, generation, prefix](bool ok, const std::vector<wire::Row>& rows,
+                                                             std::uint64_t) {
+    OwnedShare* owned = find(share, generation);
+    if (!owned) return;
+    if (!ok)
+      return deps_.loop.call_later(kLoadRetryDelay,
+                                   [this, share, generation] { load_progress(share, generation); });
+    std::vector<std::string> obsolete_keys;
+    for (const auto& r : rows) {
+      const auto name = share::ShareController::parse_row_name(r.key.substr(prefix.size()));
+      if (!name || !r.value.is_string()) continue;
+      if (const auto* j = records().job(name->first); j && j->final()) obsolete_keys.push_back(r.key);
+      owned->controller->load_progress_row(name->first, name->second, r.value.get<std::string>(), r.version);
+    }
+    deps_.records.delete_keys(
+        std::move(obsolete_keys));  // left by an owner that ended, or by a version without unit rows
+    owned->controller->finish_loading(deps_.loop.now());
+    deps_.schedule_tick();
+  });
 }
 
 void OwnedShares::job_updated(const std::string& id, const job::JobRecord& record) {
   for (auto& [share, owned] : owned_) {
-    // A job that waits for other jobs is not passed on yet.
+    // A job with open dependencies is not passed on yet.
     if (!record.final() && (!record.spec || !records().graph().is_ready(id))) continue;
     if (record.spec) owned.controller->note_gpu_job(*record.spec);
     if (!record.final() && ownership_.share_of_team(record.spec->team) != share) continue;
@@ -228,8 +228,8 @@
     owned.controller->on_job_record(id, record, since > owned.acquired_version, deps_.loop.now(),
                                     deps_.loop.time_of_day());
     if (!record.final())
-      owned.controller->set_priority_and_deadline(id, records().graph().scheduling_goals(id, record),
-                                                  deps_.loop.now(), deps_.loop.time_of_day());
+      owned.controller->set_scheduling_goals(id, records().graph().scheduling_goals(id, record),
+                                             deps_.loop.now(), deps_.loop.time_of_day());
   }
 }
 
@@ -260,8 +260,8 @@
   return ownership_.action_refusal(deps_.loop.now(), deps_.store.watched_as_of());
 }
 
-/// Logs the age of the records and the remaining time of the lease: without them nobody could tell afterwards
-/// why a task start was allowed.
+/// Logs the age of the records and the remaining time of the lease: without them a log would not show why a
+/// task start was allowed.
 void OwnedShares::log_refusal_change(int share, OwnedShare& owned, place::StartRefusal refusal) {
   const Micros now = deps_.loop.now();
   if (refusal == place::StartRefusal::none)
@@ -290,11 +290,11 @@
   return ownership_.is_ours(ownership_.leader()) && ownership_.lease_valid(deps_.loop.now());
 }
 
-std::vector<share::ShareReport> OwnedShares::share_states() const {
+std::vector<share::ShareReport> OwnedShares::share_reports() const {
   const Micros now = deps_.loop.now();
   std::vector<share::ShareReport> out;
   for (const auto& [share, owned] : owned_)
-    out.push_back({share, owned.controller->rebuilt(), owned.controller->demands(now),
+    out.push_back({share, owned.controller->all_accounted_for(), owned.controller->demands(now),
                    owned.controller->machine_states(now)});
   return out;
 }
--- a/src/app/owned_shares.h
+++ b/src/app/owned_shares.h
@@ -39,7 +39,7 @@
     std::uint64_t pending_epoch = 0;  // epoch that is being committed, perhaps executed already; 0: none
     Micros last_raise_attempt = 0;    // time of the last attempt to raise the epoch
     bool loading = false, handing_back = false;
-    std::string renewal_block;  // why worker reports are not answered, as logged last; empty: they are
+    std::string renewal_refusal;  // why worker reports are not answered, as logged last; empty: they are
     place::StartRefusal last_refusal = place::StartRefusal::none;  // as evaluated last
     Micros refused_since = 0;
   };
@@ -60,7 +60,7 @@
   void revoke_former_lease(std::uint64_t lease);
   /// Reads this node's format row, which is on the lease of the former process, before everything else, and
   /// revokes that lease.
-  void find_former_lease();
+  void find_and_revoke_former_lease();
   /// Called before and after all rows of a full read are applied.
   void begin_key_reload() { ownership_.key_reread_started(); }
   void finish_key_reload() { ownership_.key_reread_finished(deps_.loop.now()); }
@@ -68,7 +68,7 @@
   void on_records_refreshed();
   /// Creates, removes and updates the controllers of the shares according to the current keys and records.
   void sync_controllers();
-  /// A job record, or what it waits for, has changed: passes it to the controllers that need it.
+  /// A job record, or the state of its dependencies, has changed: passes it to the controllers that need it.
   void job_updated(const std::string& id, const job::JobRecord& record);
 
   /// Called every 200 ms: renews the lease, and acquires or hands back shares.
@@ -91,8 +91,8 @@
   /// Why the leader may not rent, return or move machines now; none: it may. Depends on the age of the watch,
   /// which the view of the machines comes from.
   place::StartRefusal leader_refusal() const;
-  /// The states of the owned shares, as reported to peers and to the leader.
-  std::vector<share::ShareReport> share_states() const;
+  /// Reports on the owned shares, as sent to peers and to the leader.
+  std::vector<share::ShareReport> share_reports() const;
   share::Ownership& ownership() { return ownership_; }
   const share::Ownership& ownership() const { return ownership_; }
   /// The highest epoch in any record known here. The epochs that a machine's former owners used are in its
@@ -115,7 +115,7 @@
   void remove_owner_key(int share, std::uint64_t generation, std::uint64_t version, bool maybe_executed);
   void raise_epoch(int share, OwnedShare& owned);
   void refresh_stale_records();
-  void log_refusal_change(int share, OwnedShare& owned, place::StartRefusal now_refused);
+  void log_refusal_change(int share, OwnedShare& owned, place::StartRefusal refusal);
   void log_renewal_change(int share, OwnedShare& owned) const;
   std::string loss_reason(const share::OwnerKey* key) const;
   void create_controller(int share, const share::OwnerKey& key);
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -7,7 +7,7 @@
 using share::OwnerKey;
 
 namespace {
-constexpr Micros kReportedStateMaxAge = 2 * kSecond;
+constexpr Micros kShareReportMaxAge = 2 * kSecond;
 constexpr Micros kReportedOwnerMaxAge = 1500 * kMillisecond;
 constexpr Micros kNewLeaderWait = 1500 * kMillisecond;  // after a new leader key was seen
 }  // namespace
@@ -34,7 +34,7 @@
   share::Gossip brief = full;
   brief.ids_only = true;
   for (const auto& [share, owned] : deps_.owned_shares.all())
-    brief.shares.push_back({share, owned.controller->rebuilt(), {}, {}});
+    brief.shares.push_back({share, owned.controller->all_accounted_for(), {}, {}});
   const std::string brief_frame = share::encode(brief);
   const OwnerKey* leader = deps_.owned_shares.ownership().leader();
   std::vector<std::string> full_frames;
@@ -44,7 +44,7 @@
       continue;
     }
     if (full_frames.empty()) {
-      full.shares = deps_.owned_shares.share_states();
+      full.shares = deps_.owned_shares.share_reports();
       full_frames = share::encode_gossip(full);
     }
     for (const auto& frame : full_frames) deps_.peers.send_bytes(peer.name, frame);
@@ -60,7 +60,7 @@
 }
 
 void PeerService::send_cancellations(const std::string& peer) {
-  if (const auto tell = cancellations_.message_for(peer)) deps_.peers.send(peer, *tell);
+  if (const auto notice = cancellations_.message_for(peer)) deps_.peers.send(peer, *notice);
 }
 
 void PeerService::send_heartbeats() {
@@ -90,7 +90,7 @@
 
 /// The nodes that may own the job's share and may not know of its cancellation. A node that acquires the
 /// share later reads every record up to its owner key, and so the cancellation. Any node that may have
-/// acquired it before, unseen by us, must have said that it knows.
+/// acquired it before, unseen by us, must have reported that it knows.
 std::vector<std::string> PeerService::possible_owners(const std::string& job, std::uint64_t revision) const {
   const auto& ownership = deps_.owned_shares.ownership();
   const auto* record = deps_.records.job(job);
@@ -119,8 +119,9 @@
   const auto& ownership = deps_.owned_shares.ownership();
   for (int index = 0; index < ownership.share_count(); ++index) {
     if (!ownership.owner(index) || deps_.owned_shares.find(index)) continue;
-    auto told = reported_states_.find(index);
-    if (told == reported_states_.end() || now - told->second.received > kReportedStateMaxAge) return false;
+    auto reported = received_reports_.find(index);
+    if (reported == received_reports_.end() || now - reported->second.received > kShareReportMaxAge)
+      return false;
   }
   return true;
 }
@@ -132,12 +133,12 @@
              : it->second.first;
 }
 
-std::vector<share::ShareReport> PeerService::all_share_states() const {
-  auto shares = deps_.owned_shares.share_states();
+std::vector<share::ShareReport> PeerService::all_share_reports() const {
+  auto shares = deps_.owned_shares.share_reports();
   const Micros now = deps_.loop.now();
-  for (const auto& [share, told] : reported_states_)
-    if (now - told.received <= kReportedStateMaxAge && !deps_.owned_shares.find(share))
-      shares.push_back(told.state);
+  for (const auto& [share, reported] : received_reports_)
+    if (now - reported.received <= kShareReportMaxAge && !deps_.owned_shares.find(share))
+      shares.push_back(reported.report);
   return shares;
 }
 
@@ -155,32 +156,32 @@
 void PeerService::handle_frame(const share::Frame& frame, const share::PeerTransport::Reply& reply) {
   if (const auto* gossip = std::get_if<share::Gossip>(&frame))
     handle(*gossip);
-  else if (const auto* ask = std::get_if<share::ReleaseRequest>(&frame))
-    handle(*ask);
-  else if (const auto* status_ask = std::get_if<share::StatusRequest>(&frame))
-    handle(*status_ask, reply);
-  else if (const auto* status_tell = std::get_if<share::StatusReply>(&frame))
-    deps_.status_received(*status_tell);
-  else if (const auto* plain_tell = std::get_if<share::LegacyCancelNotice>(&frame))
-    handle(*plain_tell);
-  else if (const auto* cancel_tell = std::get_if<share::CancelNotice>(&frame))
-    handle(*cancel_tell);
+  else if (const auto* release_request = std::get_if<share::ReleaseRequest>(&frame))
+    handle(*release_request);
+  else if (const auto* status_request = std::get_if<share::StatusRequest>(&frame))
+    handle(*status_request, reply);
+  else if (const auto* status_reply = std::get_if<share::StatusReply>(&frame))
+    deps_.status_received(*status_reply);
+  else if (const auto* legacy_notice = std::get_if<share::LegacyCancelNotice>(&frame))
+    handle(*legacy_notice);
+  else if (const auto* cancel_notice = std::get_if<share::CancelNotice>(&frame))
+    handle(*cancel_notice);
   else if (const auto* heartbeat = std::get_if<share::Heartbeat>(&frame))
     handle(*heartbeat);
 }
 
 void PeerService::handle(const share::Heartbeat& heartbeat) {
-  auto outcome = heartbeats_.heard(heartbeat, deps_.loop.now());
-  if (outcome.state) {
+  auto reception = heartbeats_.receive(heartbeat, deps_.loop.now());
+  if (reception.state) {
     // Repeated with each heartbeat of the peer, so that nothing queues up for a peer that cannot be reached.
     cancellations_.set_peer_progress(heartbeat.node, heartbeat.records_read_to, heartbeat.acked_cancellation);
     send_cancellations(heartbeat.node);
-    outcome.state->all_cancellations_known =
+    reception.state->all_cancellations_known =
         cancellations_.received_up_to(heartbeat.node, heartbeat.incarnation) >=
         heartbeat.highest_cancellation;
-    deps_.owned_shares.ownership().peer_reported(heartbeat.node, *outcome.state);
+    deps_.owned_shares.ownership().peer_reported(heartbeat.node, *reception.state);
   }
-  if (outcome.reply_needed) send_heartbeat(heartbeat.node);
+  if (reception.reply_needed) send_heartbeat(heartbeat.node);
 }
 
 void PeerService::handle(const share::Gossip& gossip) {
@@ -190,48 +191,50 @@
     ownership.peer_reported(
         gossip.node,
         {gossip.state_service_reachable, gossip.records_synced, gossip.lease, now, false, 0, {}});
-  for (const auto& state : gossip.shares) reported_owners_[state.share] = {gossip.node, now};
+  for (const auto& report : gossip.shares) reported_owners_[report.share] = {gossip.node, now};
   if (gossip.ids_only) return;
   // Share by share, because a node with thousands of machines sends them in several frames.
-  std::erase_if(reported_states_, [&](const auto& entry) {
+  std::erase_if(received_reports_, [&](const auto& entry) {
     const OwnerKey* key = ownership.owner(entry.first);
     return entry.second.node == gossip.node && key && key->node != gossip.node;
   });
-  for (const auto& state : gossip.shares) reported_states_[state.share] = {gossip.node, now, state};
+  for (const auto& report : gossip.shares) received_reports_[report.share] = {gossip.node, now, report};
 }
 
-void PeerService::handle(const share::ReleaseRequest& ask) {
-  const auto* machine = deps_.records.machine(ask.machine);
+void PeerService::handle(const share::ReleaseRequest& release_request) {
+  const auto* machine = deps_.records.machine(release_request.machine);
   auto* owned = machine ? deps_.owned_shares.find(machine->share) : nullptr;
-  if (!owned || ask.to_share >= deps_.owned_shares.ownership().share_count()) return;
-  if (ask.drain)
-    owned->controller->drain(ask.machine, ask.to_share, ask.rank, deps_.loop.now());
+  if (!owned || release_request.to_share >= deps_.owned_shares.ownership().share_count()) return;
+  if (release_request.drain)
+    owned->controller->drain(release_request.machine, release_request.to_share, release_request.rank,
+                             deps_.loop.now());
   else
-    deps_.move_machine(ask.machine, ask.to_share);
+    deps_.move_machine(release_request.machine, release_request.to_share);
 }
 
-void PeerService::handle(const share::StatusRequest& ask, const share::PeerTransport::Reply& reply) {
-  share::StatusReply tell;
-  tell.request = ask.request;
+void PeerService::handle(const share::StatusRequest& status_request,
+                         const share::PeerTransport::Reply& reply) {
+  share::StatusReply status_reply;
+  status_reply.request = status_request.request;
   for (const auto& [share, owned] : deps_.owned_shares.all())
-    if (auto tally = owned.controller->task_counts(ask.job))
-      tell.known = true, tell.done = tally->first, tell.running = tally->second;
-  reply(tell);
+    if (auto counts = owned.controller->task_counts(status_request.job))
+      status_reply.known = true, status_reply.done = counts->first, status_reply.running = counts->second;
+  reply(status_reply);
 }
 
-void PeerService::handle(const share::LegacyCancelNotice& tell) {
+void PeerService::handle(const share::LegacyCancelNotice& notice) {
   // The revision is not known: the record with the cancellation is still to come.
-  deps_.records.apply_peer_cancellation(tell.job, 0);
+  deps_.records.apply_peer_cancellation(notice.job, 0);
   deps_.records.publish_graph_changes();
   deps_.schedule_tick();
 }
 
-void PeerService::handle(const share::CancelNotice& tell) {
-  for (const auto& job : tell.jobs) deps_.records.apply_peer_cancellation(job.id, job.revision);
+void PeerService::handle(const share::CancelNotice& notice) {
+  for (const auto& job : notice.jobs) deps_.records.apply_peer_cancellation(job.id, job.revision);
   deps_.records.publish_graph_changes();
-  cancellations_.heard(tell);
+  cancellations_.receive(notice);
   deps_.schedule_tick();
-  send_heartbeat(tell.node);  // confirms that we know them; a user is waiting for it
+  send_heartbeat(notice.node);  // confirms that we know them; a user is waiting for it
 }
 
 }  // namespace aspenwick::app
--- a/src/app/result_writer.cpp
+++ b/src/app/result_writer.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t kCancelBatch = 8;
 constexpr Micros kFinishRetryDelay = 300 * kMillisecond;
 constexpr Micros kMoveRetryDelay = 100 * kMillisecond;
-constexpr Micros kMoveUnknownRetryDelay = kSecond;
-constexpr Micros kForeignReadInterval = 2 * kSecond;
+constexpr Micros kUnknownOutcomeRetryDelay = kSecond;
+constexpr Micros kChunkReadInterval = 2 * kSecond;
 
 std::string progress_key(int share, const std::string& job, std::uint32_t row) {
   return kProgressPrefix + std::to_string(share) + "/" + job + "/" + share::ShareController::row_name(row);
@@ -35,7 +35,7 @@
   for (auto& [share, owned] : deps_.owned_shares.all())
     owned.controller->set_all_controllers_read_units(all_nodes_read_units);
   write_progress();
-  read_foreign_chunks();
+  read_chunks_of_other_shares();
 }
 
 /// Progress rows are written at a limited rate that leaves most writes to users and machines; until they are
@@ -52,7 +52,7 @@
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     if (!deps_.owned_shares.may_commit(owned)) continue;
     const auto max_rows = static_cast<std::size_t>(std::max(0.0, progress_budget_));
-    const auto writes = owned.controller->take_done_writes(
+    const auto writes = owned.controller->take_progress_writes(
         std::min({deps_.store.max_txn_ops(), kMaxProgressRowsPerCommit, max_rows}), now);
     progress_budget_ -= static_cast<double>(writes.size());
     if (writes.empty()) continue;
@@ -69,7 +69,7 @@
             OwnedShares::OwnedShare* current = deps_.owned_shares.find(share, generation);
             if (!current) return;
             if (code == 200)
-              current->controller->on_done_write_result(write, true, revision);
+              current->controller->on_progress_write_result(write, true, revision);
             else
               reread_progress_version(share, generation, write);
           }
@@ -80,16 +80,16 @@
 /// A machine that joined with results of another share's job, as owners of earlier versions handed it over,
 /// is not released until the owner of that share has recorded them. The progress rows are read here one after
 /// the other; the end of the job settles it as well.
-void ResultWriter::read_foreign_chunks() {
+void ResultWriter::read_chunks_of_other_shares() {
   const Micros now = deps_.loop.now();
-  if (now - last_foreign_read_ < kForeignReadInterval) return;
-  last_foreign_read_ = now;
+  if (now - last_chunk_read_at_ < kChunkReadInterval) return;
+  last_chunk_read_at_ = now;
   for (auto& [share, owned] : deps_.owned_shares.all()) {
     const auto chunks = owned.controller->needed_chunks_of_other_shares();
     if (chunks.empty()) continue;
-    auto next = chunks.upper_bound(last_foreign_chunk_);
+    auto next = chunks.upper_bound(last_chunk_read_);
     if (next == chunks.end()) next = chunks.begin();
-    last_foreign_chunk_ = *next;
+    last_chunk_read_ = *next;
     const auto& [job, chunk] = *next;
     const auto* record = deps_.records.job(job);
     if (!record || !record->spec) continue;
@@ -108,13 +108,13 @@
 
 /// The commit may have been executed: the version of the row must be read before the next attempt.
 void ResultWriter::reread_progress_version(int share, std::uint64_t generation,
-                                           const share::ShareController::DoneWrite& write) {
+                                           const share::ShareController::ProgressWrite& write) {
   deps_.store.get(progress_key(share, write.job, write.row), store::Urgency::read,
                   [this, share, generation, write](int code, const wire::Row& row) {
                     OwnedShares::OwnedShare* current = deps_.owned_shares.find(share, generation);
                     if (!current) return;
                     const std::uint64_t version = code == 200 ? row.version : code == 404 ? 0 : write.version;
-                    current->controller->on_done_write_result(write, false, version);
+                    current->controller->on_progress_write_result(write, false, version);
                   });
 }
 
@@ -137,7 +137,7 @@
   record.finished = deps_.loop.time_of_day();
   std::vector<wire::Write> writes{{kJobPrefix + id, job::record_to_json(record), {}, false}};
   std::vector<std::string> remaining_keys;
-  for (const auto& name : owned.controller->done_row_keys(id)) {
+  for (const auto& name : owned.controller->progress_row_names(id)) {
     const std::string key = kProgressPrefix + std::to_string(share) + "/" + name;
     if (writes.size() < deps_.store.max_txn_ops())
       writes.push_back({key, nullptr, {}, true});
@@ -155,7 +155,7 @@
           deps_.records.delete_parts(id, record);
           deps_.records.update_job(id, std::move(record));
           deps_.records.publish_graph_changes();
-          deps_.schedule_tick();  // jobs that waited for it can start at once
+          deps_.schedule_tick();  // its dependents can start at once
           return;
         }
         deps_.loop.call_later(kFinishRetryDelay, [this, share, generation, id] {
@@ -165,8 +165,8 @@
       });
 }
 
-/// Users are told at once that jobs which need a cancelled job are cancelled too. Their records follow here,
-/// in batches, written by the owner of their share.
+/// Users are told at once that jobs which depend on a cancelled job are cancelled too. Their records follow
+/// here, in batches, written by the owner of their share.
 void ResultWriter::cancel_dependents() {
   if (cancelling_ || deps_.records.graph().to_cancel().empty() || !deps_.store.has_spare_writes()) return;
   for (auto& [share, owned] : deps_.owned_shares.all())
@@ -192,11 +192,11 @@
   deps_.store.commit(std::move(guards), std::move(writes), store::Urgency::background,
                      [this, ids](int code, std::uint64_t revision) {
                        cancelling_ = false;
-                       // After a conflict one of them was changed elsewhere: the watch will tell which; until
+                       // After a conflict one of them was changed elsewhere: the watch will show which; until
                        // then they are committed one by one.
                        cancel_batch_ = code == 409 ? 1 : kCancelBatch;
                        if (code != 200) return;
-                       spdlog::info("cancelled {} jobs that need a cancelled job: {} ...", ids.size(),
+                       spdlog::info("cancelled {} jobs that depend on a cancelled job: {} ...", ids.size(),
                                     ids[0]);
                        for (const auto& id : ids) {
                          const auto* known = deps_.records.job(id);
@@ -250,7 +250,7 @@
     moving_.erase(id);
     return;
   }
-  if (owned->key_version != key_version) return keep_unless_moved(std::move(m), from, generation);
+  if (owned->key_version != key_version) return cancel_move_unless_committed(std::move(m), from, generation);
   const auto urgency = m.share >= 0 ? store::Urgency::user : store::Urgency::background;
   std::vector<wire::Guard> guards{{kMachinePrefix + id, m.version}, {owner_key(from), key_version}};
   std::vector<wire::Write> writes{{kMachinePrefix + id, share::machine_to_json(m), {}, false}};
@@ -260,39 +260,39 @@
                                                                               std::uint64_t) mutable {
         const bool maybe_moved = code == 0 || code == 409 || maybe_executed;
         deps_.loop.call_later(
-            code != 200 && maybe_moved ? kMoveUnknownRetryDelay : kMoveRetryDelay,
+            code != 200 && maybe_moved ? kUnknownOutcomeRetryDelay : kMoveRetryDelay,
             [this, m = std::move(m), from, generation, key_version, code, maybe_moved]() mutable {
               if (code == 200)
                 moving_.erase(m.id);
               else if (maybe_moved)
                 commit_move(std::move(m), from, generation, key_version, true);
               else
-                keep_machine(m.id, from);
+                cancel_move(m.id, from);
             });
       });
 }
 
 /// The owner key has changed, so no attempt can be executed any more. One may have been before without the
 /// watch having reported it, which a read of the machine's row from now on shows.
-void ResultWriter::keep_unless_moved(share::MachineRecord m, int from, std::uint64_t generation) {
+void ResultWriter::cancel_move_unless_committed(share::MachineRecord m, int from, std::uint64_t generation) {
   const std::string key = kMachinePrefix + m.id;
   deps_.store.get(key, store::Urgency::read,
                   [this, m = std::move(m), from, generation](int code, const wire::Row& row) mutable {
                     if (code == 200 && row.version == m.version && deps_.owned_shares.find(from, generation))
-                      return keep_machine(m.id, from);
+                      return cancel_move(m.id, from);
                     if (code == 200 || code == 404) {
                       moving_.erase(m.id);  // moved or deleted: the watch will report it
                       return;
                     }
                     deps_.loop.call_later(kMoveRetryDelay,
                                           [this, m = std::move(m), from, generation]() mutable {
-                                            keep_unless_moved(std::move(m), from, generation);
+                                            cancel_move_unless_committed(std::move(m), from, generation);
                                           });
                   });
 }
 
-/// The machine certainly was not moved: it can be used again.
-void ResultWriter::keep_machine(const std::string& machine, int from) {
+/// The machine certainly was not moved: its share may use it again.
+void ResultWriter::cancel_move(const std::string& machine, int from) {
   moving_.erase(machine);
   if (auto* owned = deps_.owned_shares.find(from)) owned->controller->cancel_release(machine);
 }
--- a/src/app/worker_api.cpp
+++ b/src/app/worker_api.cpp
@@ -77,8 +77,8 @@
   m.type = report.type;
   m.zone = report.zone;
   m.spot = report.spot;
-  m.share = deps_.share_for(report);
-  // A worker that has accepted a token obeys only orders of a higher epoch.
+  m.share = deps_.share_for_new_machine(report);
+  // A worker that has accepted a token executes only orders of a higher epoch.
   if (report.token > 0)
     m.epoch = std::max(deps_.owned_shares.highest_epoch(), share::epoch_of_token(report.token)) + 1;
   deps_.store.commit(
@@ -109,17 +109,19 @@
   }
 }
 
-void WorkerApi::push(int share, std::uint64_t generation, const share::ShareController::OrderPush& batch) {
+void WorkerApi::push(int share, std::uint64_t generation,
+                     const share::ShareController::OrderPush& order_push) {
   wire::Endpoint to;
   try {
-    to = wire::parse_endpoint(batch.address);
+    to = wire::parse_endpoint(order_push.address);
   } catch (const wire::Malformed&) {
     return;
   }
   ++pushes_in_flight_;
   deps_.workers.request(
-      net::Method::post, to, "/do", wire::push_body(batch.token, batch.session, batch.orders), kPushTimeout,
-      [this, share, generation, machine = batch.machine](int code, const std::string& body) {
+      net::Method::post, to, "/do", wire::push_body(order_push.token, order_push.session, order_push.orders),
+      kPushTimeout,
+      [this, share, generation, machine = order_push.machine](int code, const std::string& body) {
         on_push_done(share, generation, machine, code, body);
       });
 }
@@ -137,7 +139,7 @@
     } catch (const std::exception& e) {
       spdlog::error("cannot read the answer of worker {}: {}", machine, e.what());
     }
-  owned->controller->pushed(machine, report ? code : 0, report, deps_.loop.now());
+  owned->controller->on_push_result(machine, report ? code : 0, report, deps_.loop.now());
   deps_.schedule_tick();
 }
 
--- a/src/fleet/provisioner.h
+++ b/src/fleet/provisioner.h
@@ -22,13 +22,14 @@
   Micros idle_gpu_after = 20 * kSecond;       // with GPUs, which cost many times as much
   Micros idle_spot_gpu_after = 45 * kSecond;  // spot with GPUs: cheap, and it keeps its images cached
   Micros lapsed_after = 8 * kSecond;          // an empty machine whose worker's lease lapsed is returned
-  Micros refused_for = 12 * kSecond;          // an offer that the cloud refused isn't requested again
+  Micros refused_for = 12 * kSecond;          // an offer that the cloud refused is not requested again
   Micros drain_interval = 1 * kSecond;  // between rounds of drains, for high-rank work and of GPU machines
   double expensive_price_factor = 3;    // offers above this multiple of the cheapest are for urgent work only
-  // A machine that hasn't reported after `factor` nominal boot times plus `extra` is deleted.
+  // A machine that has not reported after `straggler_factor` nominal boot times plus `straggler_extra` is
+  // deleted.
   double straggler_factor = 2.5;
   Micros straggler_extra = 15 * kSecond;
-  Micros min_idle_before_move = kSecond;  // an empty machine isn't moved to another share before
+  Micros min_idle_before_move = kSecond;  // an empty machine is not moved to another share before
   // Backlog per running task (time to finish it at the current rate) above which a share gets machines of
   // shares with less; 0: never.
   Micros level_above = 60 * kSecond;
@@ -49,7 +50,7 @@
 struct MoveMachine {
   std::string machine;
   int from = 0, to = -1;
-  bool drain = false;                 // the machine isn't empty: place nothing more, release it once empty
+  bool drain = false;                 // the machine is not empty: place nothing more, release it once empty
   wire::Rank rank = wire::Rank::low;  // with `drain`: tasks below it are stopped; low: none
 };
 /// Delete machines at the cloud.
@@ -72,7 +73,7 @@
   std::uint64_t epoch_ = 0, count_ = 0;
 };
 
-/// Plans capacity for one term of leadership. `platform` and `types` must outlive it, and `types` mustn't
+/// Plans capacity for one term of leadership. `platform` and `types` must outlive it, and `types` must not
 /// change. Machines are identified by their cloud ids.
 class Provisioner {
  public:
@@ -82,13 +83,13 @@
 
   /// The cloud's complete machine list. It may lag by the platform's `cloud_list_lag`, and an older list may
   /// follow a newer one.
-  void listed(const std::vector<wire::CloudMachine>& machines,
-              const std::map<std::string, MachineRecord>& records, Micros now);
+  void on_machines_listed(const std::vector<wire::CloudMachine>& machines,
+                          const std::map<std::string, MachineRecord>& records, Micros now);
   /// The answer to a RentMachines action, with the HTTP status and the ids of the machines granted. Must be
   /// called for every such action: unanswered ones count as capacity and are limited in number.
-  void rented(const RentMachines& rent, int status, const std::vector<std::string>& ids, Micros now);
+  void on_rent_result(const RentMachines& rent, int status, const std::vector<std::string>& ids, Micros now);
   /// The outcome of a DeleteMachines action; not ok: they may be requested again at once.
-  void deleted(const std::vector<std::string>& ids, bool ok, Micros now);
+  void on_delete_result(const std::vector<std::string>& ids, bool ok, Micros now);
   void set_spot_prices(const std::vector<wire::MachineType>& current);
 
   /// Plans one pass over all shares' demands and machines; called about twice a second. `records` are the
@@ -96,9 +97,9 @@
   std::vector<Action> tick(Micros now, const std::vector<ShareReport>& shares,
                            const std::map<std::string, MachineRecord>& records);
   /// The share for a machine whose worker reports before the machine has a record; `shares` is their number.
-  int share_for(const std::string& machine, const std::string& type, int shares);
-  /// The machine has a record now.
-  void adopted(const std::string& machine) { booting_.erase(machine); }
+  int share_for_new_machine(const std::string& machine, const std::string& type, int shares);
+  /// The machine has a record now: it no longer counts as booting.
+  void on_machine_registered(const std::string& machine) { booting_.erase(machine); }
   bool has_booting() const { return !booting_.empty(); }
 
  private:
@@ -125,7 +126,7 @@
     bool unused_long_enough = false;  // for at least kMinUnusedTime
     int owner_share = -1;             // also while it is drained for another share
     std::uint32_t idle_ms = 0;
-    wire::Rank top_rank = wire::Rank::low;  // of its tasks
+    wire::Rank highest_rank = wire::Rank::low;  // of its tasks
   };
   /// The resources that a machine has had free continuously since a point in time.
   struct UnusedCapacity {
@@ -137,7 +138,7 @@
     int share = 0;
     share::Demand demand;
     std::uint32_t remaining = 0, assigned = 0;
-    bool other_share_has_room = false;  // though the demand was passed over
+    bool other_share_has_capacity = false;  // though the demand is starved
     std::map<std::string, std::uint32_t> assigned_by_zone;
   };
   /// The working state of one tick.
@@ -145,7 +146,7 @@
     Micros now = 0;
     std::vector<MachineCapacity> capacities;
     std::vector<PendingDemand> pending_demands;
-    std::set<int> shares_short_of_capacity;  // whose own machines can't hold all their demands
+    std::set<int> shares_short_of_capacity;  // whose own machines cannot hold all their demands
     /// A share's deferrable work, summed in order of rank and slack up to the demand in progress.
     struct Backlog {
       double task_seconds = 0;
@@ -209,7 +210,7 @@
   std::map<std::string, UnusedCapacity> unused_capacity_;  // by machine
   std::vector<bool> gpu_work_types_;  // by machine type: GPU work that can use it has been seen
   Micros next_drain_ = 0, next_consolidation_ = 0, next_rebalance_ = 0;
-  int next_adopting_share_ = 0;  // round robin
+  int next_registration_share_ = 0;  // round robin
 };
 
 }  // namespace aspenwick::fleet
--- a/src/fleet/provisioner_moving.cpp
+++ b/src/fleet/provisioner_moving.cpp
@@ -25,12 +25,12 @@
 /// The machine runs only low-rank tasks that use no GPU, so it can be drained for another share's GPU work.
 bool Provisioner::can_drain_for_gpu_work(const MachineCapacity& machine, const PendingDemand& pending) const {
   return pending.demand.need.gpus > 0 && !machine.booting && !machine.empty && !machine.reserved_for_gpu &&
-         machine.share != pending.share && machine.top_rank == wire::Rank::low &&
+         machine.share != pending.share && machine.highest_rank == wire::Rank::low &&
          machine.free.gpus == types_[machine.type].total.gpus && !draining_.contains(machine.id);
 }
 
 void Provisioner::claim_booting_machines(Plan& plan, PendingDemand& pending) {
-  // The share's earlier claims first: if claims changed between ticks, machines would join shares that don't
+  // The share's earlier claims first: if claims changed between ticks, machines would join shares that do not
   // need them.
   for (const bool own : {true, false})
     for (auto& machine : plan.capacities) {
@@ -64,7 +64,7 @@
     MachineCapacity* cheapest = nullptr;
     double lowest_loss = 0;
     for (auto& machine : plan.capacities) {
-      if (machine.booting || machine.share == pending.share || machine.top_rank >= pending.demand.rank ||
+      if (machine.booting || machine.share == pending.share || machine.highest_rank >= pending.demand.rank ||
           machine.empty)
         continue;
       if (draining_.contains(machine.id) ||
@@ -94,11 +94,11 @@
 
 // ---------------------------------------------------------------- unused capacity of other shares
 
-/// Another share's busy machine has had room for the passed-over demand for a while. The room must have been
+/// Another share's busy machine has had capacity for the starved demand for a while. It must have been
 /// unused for kMinUnusedTime, as there is always some for a moment between two tasks. Machines with
 /// production tasks are left out: these mostly run for good, so a drain would only keep the rest idle.
 /// (Without these two rules, compact work on the largest fleet met fewer deadlines; which of the two matters
-/// isn't known.) For work that needs no GPU, so are machines with GPUs in use, which would be idle after the
+/// is not known.) For work that needs no GPU, so are machines with GPUs in use, which would be idle after the
 /// drain, all for a few CPUs.
 bool Provisioner::has_unused_capacity_for(const MachineCapacity& machine,
                                           const PendingDemand& pending) const {
@@ -106,7 +106,7 @@
       !fits_only_gpu_work_types(pending))
     return false;
   return pending.demand.starved && !machine.booting && !machine.empty && machine.share != pending.share &&
-         !draining_.contains(machine.id) && machine.top_rank < wire::Rank::production &&
+         !draining_.contains(machine.id) && machine.highest_rank < wire::Rank::production &&
          machine.unused_long_enough && can_use(pending, machine) &&
          pending.demand.need.fits_in(machine.free) && pending.demand.need.fits_in(machine.unused);
 }
@@ -115,7 +115,7 @@
 /// higher, all may finish, and nothing more is placed there.
 void Provisioner::drain_underused_machine(Plan& plan, MachineCapacity& machine,
                                           const PendingDemand& pending) {
-  const bool lower = machine.top_rank < pending.demand.rank;
+  const bool lower = machine.highest_rank < pending.demand.rank;
   draining_[machine.id] = {pending.share, plan.now + (lower ? kPreemptingDrainTime : kGracefulDrainTime)};
   plan.actions.emplace_back(MoveMachine{machine.id, machine.share, pending.share, true,
                                         lower ? pending.demand.rank : wire::Rank::low});
@@ -124,7 +124,7 @@
   machine.reserved = true;
 }
 
-/// For a demand that was passed over for long while other shares have room beside their tasks: drains the
+/// For a starved demand while other shares have capacity beside their tasks: drains the
 /// machine with the lowest rank and then the fewest CPUs in use. Otherwise the demand would wait as long as
 /// these shares have any work.
 void Provisioner::drain_underused_machines(Plan& plan, PendingDemand& pending) {
@@ -132,12 +132,12 @@
   while (pending.remaining > 0) {
     MachineCapacity* best = nullptr;
     const auto key = [&](const MachineCapacity& machine) {
-      return std::pair{machine.top_rank, types_[machine.type].total.cpus - machine.free.cpus};
+      return std::pair{machine.highest_rank, types_[machine.type].total.cpus - machine.free.cpus};
     };
     for (auto& machine : plan.capacities)
       if (has_unused_capacity_for(machine, pending) && (!best || key(machine) < key(*best))) best = &machine;
     if (!best) return;
-    pending.other_share_has_room = true;
+    pending.other_share_has_capacity = true;
     const auto remaining_before = pending.remaining;
     drain_underused_machine(plan, *best, pending);
     if (assign_tasks(pending, *best) == 0) return;
@@ -147,7 +147,7 @@
   }
 }
 
-/// Renews drains for a passed-over demand, as tasks may run for longer than a drain lasts.
+/// Renews drains for a starved demand, as tasks may run for longer than a drain lasts.
 void Provisioner::renew_drains(Plan& plan, const PendingDemand& pending) {
   if (!pending.demand.starved) return;
   for (auto& [id, d] : draining_) {
@@ -226,7 +226,7 @@
     const auto n = tasks_fitting(pending.demand, types_[machine.type].total);
     if (draining_.contains(machine.id) && machine.share == to) tasks_to_shift -= n;
     if (machine.share != from || machine.booting || machine.empty || draining_.contains(machine.id) ||
-        n == 0 || machine.top_rank != wire::Rank::low || types_[machine.type].total.gpus > 0 ||
+        n == 0 || machine.highest_rank != wire::Rank::low || types_[machine.type].total.gpus > 0 ||
         !matches_constraints(pending, machine.type, machine.zone, machine.spot))
       continue;
     // With many tasks, the last one ends late, and the rest of the machine is idle until then.
--- a/src/place/placement.cpp
+++ b/src/place/placement.cpp
@@ -20,8 +20,8 @@
 // Time without any start of a job's tasks after which the leader looks for capacity in other shares, whose
 // machines take a while to drain, and after which the job may also use machines kept for GPU work. Both are
 // well below the 90 s that no job may wait while there is capacity for it.
-constexpr Micros kPassedOverAfter = 20 * kSecond;
-constexpr Micros kAnyRoomAfter = 50 * kSecond;
+constexpr Micros kStarvedAfter = 20 * kSecond;
+constexpr Micros kAcceptsAnyMachineAfter = 50 * kSecond;
 constexpr int kImageCached = 2;           // see image_availability()
 constexpr double kLongFetchSeconds = 10;  // more than preempted work loses
 constexpr double kFetchFraction = 0.25;   // of the objective for the start
@@ -42,7 +42,7 @@
   const Micros to_start = j.ready + j.start_within - now;
   if (!j.finish_by) return to_start;
   const Micros to_finish = *j.finish_by - j.spec->estimate - now;
-  // If only the jobs that need it impose a time to finish, its class's start objective holds as well.
+  // If only its dependents impose a latest finish, its class's start objective holds as well.
   return j.spec->deadline ? to_finish : std::min(to_finish, to_start);
 }
 
@@ -155,13 +155,13 @@
   const std::uint32_t tasks = j.spec->shape == Shape::gang ? j.spec->tasks : 1;
   if (now < j.not_before || !placement_allowed(j) || !quota_.within_limit(j, tasks)) j.waiting_since = now;
   const Micros waited = now - std::max(j.ready, j.waiting_since);
-  j.passed_over = waited >= kPassedOverAfter, j.any_room = waited >= kAnyRoomAfter;
+  j.starved = waited >= kStarvedAfter, j.accepts_any_machine = waited >= kAcceptsAnyMachineAfter;
 }
 
 /// Collects the distinct properties of the machines that are not accounted for yet.
 void Placement::collect_unaccounted() {
   unaccounted_.clear();
-  if (view_.rebuilt) return;
+  if (view_.all_accounted_for) return;
   for (const Machine* m : view_.machines_by_id)
     if ((!m->accounted_for && !m->handed_over_empty) || m->unattributed > 0)
       unaccounted_.insert({m->type, m->type_index, m->zone, m->spot});
@@ -181,7 +181,7 @@
 /// s.
 bool Placement::placement_allowed(const Job& j) const {
   if (j.committing) return false;
-  if (view_.rebuilt) return true;
+  if (view_.all_accounted_for) return true;
   // Tasks on machines that are not accounted for may use up the team's limit.
   const wire::Team* t = quota_.team(j.spec->team);
   if (!t) return false;
@@ -214,9 +214,9 @@
 /// Whether a task of the job fits into `free` on this machine and does not block a machine kept for GPU jobs.
 bool Placement::fits(const Job& j, const Machine& m, const Resources& free) const {
   // Machines for GPU jobs take other work only if it can be preempted at once: services, gangs and higher
-  // ranks would keep an expensive machine rented for a few CPUs. Jobs that have waited long (any_room) are
-  // exempt: where these were the only machines with capacity, they never ran.
-  if (j.spec->need.gpus == 0 && usable_by_gpu_jobs_[m.type_index] && !j.any_room &&
+  // ranks would keep an expensive machine rented for a few CPUs. Jobs that have waited long
+  // (accepts_any_machine) are exempt: where these were the only machines with capacity, they never ran.
+  if (j.spec->need.gpus == 0 && usable_by_gpu_jobs_[m.type_index] && !j.accepts_any_machine &&
       (j.rank > Rank::low || j.spec->shape != Shape::array))
     return false;
   return j.spec->need.fits_in(free);
@@ -340,13 +340,14 @@
     // A failed search holds for all jobs of the kind until there is more capacity, unless zones or machines
     // that only this job avoids have restricted it.
     const bool applies_to_kind = !j.spec->spread && !j.spec->one_zone && j.avoided_machines.empty() &&
-                                 candidates.zone < 0 && candidates.min_availability == 0 && !j.any_room;
+                                 candidates.zone < 0 && candidates.min_availability == 0 &&
+                                 !j.accepts_any_machine;
     auto& failed = j.kind->second.placement[static_cast<std::size_t>(j.rank)];
     auto& failed_cheap = j.kind->second.cheap_placement[static_cast<std::size_t>(j.rank)];
     const auto capacity_version = view_.capacity_version_for(j.kind->first);
     const bool known_to_fail = failed.covers(capacity_version, j.spec->need) ||
                                (cheap_only && failed_cheap.covers(capacity_version, j.spec->need));
-    if (known_to_fail && !j.any_room) return false;
+    if (known_to_fail && !j.accepts_any_machine) return false;
     find_candidates(j, candidates, now);
     const bool none_found = candidates.machines.empty();
     if (applies_to_kind && none_found) failed.record(capacity_version, j.spec->need);
@@ -377,23 +378,23 @@
   return true;
 }
 
-/// How many tasks of the job fit into `room` on this machine.
-std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources room) const {
-  if (!fits(j, m, room)) return 0;
-  return j.spec->need.copies_that_fit(room, j.spec->tasks);
+/// How many tasks of the job fit into `capacity` on this machine.
+std::int64_t Placement::task_slots(const Job& j, const Machine& m, Resources capacity) const {
+  if (!fits(j, m, capacity)) return 0;
+  return j.spec->need.copies_that_fit(capacity, j.spec->tasks);
 }
 
-/// The zones in which the whole gang could start, if each machine has the capacity that `room_of` returns.
-/// The zone with the least to spare comes first, so that the others stay free for larger gangs. For a gang
-/// that is not bound to one zone: a single -1, or nothing.
+/// The zones in which the whole gang could start, if each machine has the capacity that `capacity_of`
+/// returns. The zone with the least to spare comes first, so that the others stay free for larger gangs. For
+/// a gang that is not bound to one zone: a single -1, or nothing.
 std::vector<int> Placement::gang_zones(const Job& j, Micros now,
-                                       const std::function<Resources(const Machine&)>& room_of) const {
+                                       const std::function<Resources(const Machine&)>& capacity_of) const {
   std::map<std::string, std::pair<int, std::int64_t>> by_name;
   for (const Machine* m : view_.machines_by_id)
     if (machine_allowed(j, *m, now) && (m->spot || j.spot_only_until <= now)) {
       auto& [zone, n] = by_name[j.spec->one_zone ? m->record.zone : ""];
       zone = j.spec->one_zone ? m->zone : -1;
-      n += task_slots(j, *m, room_of(*m));
+      n += task_slots(j, *m, capacity_of(*m));
     }
   std::vector<std::pair<std::int64_t, int>> found;
   for (const auto& [name, z] : by_name)
@@ -414,12 +415,13 @@
   // machines searches fewer machines, so its failures are not recorded.
   auto& failed = j.kind->second.gang_placement[static_cast<std::size_t>(j.rank)];
   const auto capacity_version = view_.capacity_version_for(j.kind->first);
-  if (!j.any_room && failed.covers(capacity_version, j.spec->need, j.spec->tasks)) return false;
+  if (!j.accepts_any_machine && failed.covers(capacity_version, j.spec->need, j.spec->tasks)) return false;
   const auto zones = gang_zones(j, now, [&](const Machine& m) {
     return min_availability == 0 || image_availability(j, m) >= min_availability ? m.free : Resources{};
   });
   if (zones.empty()) {
-    if (j.avoided_machines.empty() && j.spot_only_until <= now && min_availability == 0 && !j.any_room)
+    if (j.avoided_machines.empty() && j.spot_only_until <= now && min_availability == 0 &&
+        !j.accepts_any_machine)
       failed.record(capacity_version, j.spec->need, j.spec->tasks);
     return false;
   }
@@ -494,17 +496,17 @@
   auto& failed = j.kind->second.gang_preemption[static_cast<std::size_t>(j.rank)];
   if (failed.covers(view_.change_count, j.spec->need, j.spec->tasks)) return false;
   auto outranked = [&](const TaskAttempt& p) { return p.job && p.job->rank < j.rank; };
-  auto room_of = [&](const Machine& m) {
+  auto capacity_of = [&](const Machine& m) {
     if (min_availability > 0 && image_availability(j, m) < min_availability) return Resources{};
-    Resources room = m.free;
+    Resources capacity = m.free;
     if (const auto& summary = m.task_summary();
         !summary.halting && (!summary.any_stoppable || summary.lowest_stoppable_rank >= j.rank))
-      return room;
+      return capacity;
     for (const auto& [key, p] : m.tasks)
-      if (p.halting || outranked(p)) room += p.need;
-    return room;
+      if (p.halting || outranked(p)) capacity += p.need;
+    return capacity;
   };
-  const auto zones = gang_zones(j, now, room_of);
+  const auto zones = gang_zones(j, now, capacity_of);
   if (zones.empty()) {
     if (j.avoided_machines.empty() && j.spot_only_until <= now && min_availability == 0)
       failed.record(view_.change_count, j.spec->need, j.spec->tasks);
@@ -519,7 +521,7 @@
   for (Machine* machine : view_.machines_by_id) {
     Machine& m = *machine;
     if (!machine_allowed(j, m, now) || (j.spec->one_zone && m.zone != zones.front())) continue;
-    const auto n = task_slots(j, m, room_of(m));
+    const auto n = task_slots(j, m, capacity_of(m));
     double loss = 0;
     for (const auto& [key, p] : m.tasks)
       if (!p.halting && outranked(p))
@@ -547,11 +549,12 @@
 }
 
 /// Preempts tasks of lower rank, or other teams' borrowed resources within the own guarantee, on the one
-/// machine where that loses the least work and makes room for a task of the job.
+/// machine where that loses the least work and frees enough capacity for a task of the job.
 Placement::Preemption Placement::preempt_for(Job& j, Micros now, int min_availability) {
   std::int64_t missing = j.waiting();
-  // Tasks that are not accounted for may count against the guarantee, so it is used only on a rebuilt share.
-  const bool guaranteed = view_.rebuilt && quota_.within_guarantee(j);
+  // Tasks that are not accounted for may count against the guarantee, so it is used only once every
+  // machine is accounted for.
+  const bool guaranteed = view_.all_accounted_for && quota_.within_guarantee(j);
   if (guaranteed && j.rank < Rank::high) {  // preempt other teams' work for the guaranteed part only
     const auto& g = quota_.team(j.spec->team)->guaranteed;
     const auto& usage = view_.team_usage[j.spec->team];
@@ -651,8 +654,8 @@
     };
     // Production jobs preempt lower ranks rather than stay on an expensive machine. Jobs that end soon use
     // expensive machines that are rented anyway, since preempted work is lost.
-    const bool may_displace =
-        effective_rank(*j, now) >= Rank::high || (view_.rebuilt && quota_.within_guarantee(*j));
+    const bool may_preempt =
+        effective_rank(*j, now) >= Rank::high || (view_.all_accounted_for && quota_.within_guarantee(*j));
     const bool is_production = j->rank == Rank::production;
     // Preempts for up to eight waiting tasks. Returns `started` if anything was preempted now, `pending` if
     // halts under way are enough.
@@ -666,11 +669,11 @@
     if (prefers_cached_image(*j) &&
         (place(is_production, kImageCached) || preempt(kImageCached) != Preemption::none))
       continue;
-    if (place(is_production) || !may_displace) continue;
+    if (place(is_production) || !may_preempt) continue;
     const bool preempting = preempt(0) == Preemption::started;
     if (!preempting && is_production && !waits_for_non_gpu_machine(*j, now)) place(false);
   }
-  if (view_.rebuilt) move_to_spot(now);
+  if (view_.all_accounted_for) move_to_spot(now);
   return attempts_ < attempt_limit;  // the last job may have reached the limit
 }
 
--- a/src/place/placement.h
+++ b/src/place/placement.h
@@ -37,7 +37,7 @@
   std::vector<Job*> ordered_jobs(Micros now) const;
   /// How long the job can be delayed without missing its deadline or start objective; negative if it is late.
   Micros slack(const Job& j, Micros now) const;
-  /// The rank that the job is placed with. A job that others of a higher rank need gets theirs once its time
+  /// The rank that the job is placed with. A job whose dependents rank higher gets their rank once its time
   /// is short, and keeps its own until then, so that pipeline stages with time to spare neither preempt other
   /// work nor delay jobs with less time.
   wire::Rank effective_rank(const Job& j, Micros now) const;
@@ -88,9 +88,9 @@
   void find_candidates(const Job& j, CandidateSet& candidates, Micros now) const;
   bool place_task(Job& j, std::uint32_t index, std::uint64_t attempt, bool cheap_only, Micros now,
                   CandidateSet& candidates);
-  std::int64_t task_slots(const Job& j, const Machine& m, Resources room) const;
+  std::int64_t task_slots(const Job& j, const Machine& m, Resources capacity) const;
   std::vector<int> gang_zones(const Job& j, Micros now,
-                              const std::function<Resources(const Machine&)>& room_of) const;
+                              const std::function<Resources(const Machine&)>& capacity_of) const;
   bool place_gang(Job& j, Micros now, int min_availability);
   bool preempt_for_gang(Job& j, Micros now, int min_availability);
   bool place_gang_or_preempt(Job& j, Micros now, int min_availability);
--- a/src/share/ownership.cpp
+++ b/src/share/ownership.cpp
@@ -115,7 +115,7 @@
 /// this bound plus a worker's lease fit into the time allowed for a cancellation, so one that the owner
 /// missed still takes effect in time. A valid lease does not show when records were read.
 bool Ownership::records_fresh_for_renewal(Micros now) const {
-  return now - records_read_at_ < kOwnerLeaseDuration + kCancelDeadlineMargin + max_unconfirmed_renewal();
+  return now - records_as_of_ < kOwnerLeaseDuration + kCancelDeadlineMargin + max_unconfirmed_renewal();
 }
 
 /// Why a peer that lacks the state service too does not confirm that we may continue; null if it does. An
@@ -128,7 +128,7 @@
   if (s >= peer.highest_epochs.size()) return "runs an older version that reports no owner epochs";
   if (peer.highest_epochs[s] > key->epoch) return "knows an owner key with a higher epoch";
   if (!peer.all_cancellations_known) return "may have confirmed cancellations that we have not received";
-  if (peer.alive_since > std::min(lease_confirmed_at_, records_read_at_))
+  if (peer.alive_since > std::min(lease_confirmed_at_, records_as_of_))
     return "started after the state service last served us";
   return nullptr;
 }
@@ -199,7 +199,7 @@
 }
 
 /// Considers all former owners that may still renew, not only the last one: that one may have ended shortly
-/// after taking the share from an owner that is partitioned from the others and still answers its workers.
+/// after acquiring the share from an owner that is partitioned from the others and still answers its workers.
 Micros Ownership::former_owners_renew_until(int share, Micros now) const {
   Micros until = now;
   const auto formers = former_owners_.find(share);
@@ -223,17 +223,17 @@
                       [&](const auto& p) { return now - p.second.reported_at < kPeerReportMaxAge; });
 }
 
-std::vector<int> Ownership::shares_to_take(Micros now) const {
+std::vector<int> Ownership::shares_to_acquire(Micros now) const {
   std::vector<int> out;
   if (!lease_valid(now)) return out;
   for (int s = 0; s < share_count(); ++s) {
     if (owners_.contains(s)) continue;
     auto it = unowned_since_.find(s);
     const Micros unowned_for = it == unowned_since_.end() ? now : now - it->second;
-    // The home node takes its share at once; the others wait, one after the other in name order.
+    // The home node acquires its share at once; the others wait, one after the other in name order.
     const int succession_rank = (home_share_ - s + share_count()) % share_count();
     // Right after our own start, a home node that we have not heard from is usually starting too.
-    // A home node that is running but does not reach the state service cannot take its share. Waiting for
+    // A home node that is running but does not reach the state service cannot acquire its share. Waiting for
     // such nodes left four shares without an owner for 8 s when only one node could take them.
     const auto home = peers_.find(home_node(s));
     const bool home_can_take =
@@ -247,7 +247,7 @@
   return out;
 }
 
-bool Ownership::take_leader(Micros now) const {
+bool Ownership::should_acquire_leadership(Micros now) const {
   return !leader_ && lease_valid(now) && now - no_leader_since_ >= home_share_ * kSecond / 4;
 }
 
--- a/src/share/peer_frame.cpp
+++ b/src/share/peer_frame.cpp
@@ -87,7 +87,7 @@
   w.num<std::uint8_t>(static_cast<std::uint8_t>(g.shares.size()));
   for (const auto& s : g.shares) {
     w.num<std::int16_t>(static_cast<std::int16_t>(s.share));
-    w.num<std::uint8_t>(s.rebuilt);
+    w.num<std::uint8_t>(s.all_accounted_for);
     w.num<std::uint16_t>(static_cast<std::uint16_t>(s.demands.size()));
     for (const auto& d : s.demands) {
       w.resources(d.need);
@@ -111,7 +111,7 @@
       w.num<std::uint8_t>(
           static_cast<std::uint8_t>(m.usable | m.empty << 1 | m.worker_lost << 2 | m.suspect << 3));
       w.num<std::uint32_t>(m.idle_ms);
-      w.num<std::uint8_t>(static_cast<std::uint8_t>(m.top_rank));
+      w.num<std::uint8_t>(static_cast<std::uint8_t>(m.highest_rank));
     }
   }
 }
@@ -127,7 +127,7 @@
   for (int i = 0; i < shares; ++i) {
     ShareReport s;
     s.share = r.num<std::int16_t>();
-    s.rebuilt = r.num<std::uint8_t>() != 0;
+    s.all_accounted_for = r.num<std::uint8_t>() != 0;
     for (int n = r.num<std::uint16_t>(); n > 0; --n) {
       Demand d;
       d.need = r.resources();
@@ -155,9 +155,9 @@
       const auto f = r.num<std::uint8_t>();
       m.usable = f & 1, m.empty = f & 2, m.worker_lost = f & 4, m.suspect = f & 8;
       m.idle_ms = r.num<std::uint32_t>();
-      const auto top = r.num<std::uint8_t>();
-      if (top > 3) throw BadFrame("rank of a machine out of range");
-      m.top_rank = static_cast<wire::Rank>(top);
+      const auto machine_rank = r.num<std::uint8_t>();
+      if (machine_rank > 3) throw BadFrame("rank of a machine out of range");
+      m.highest_rank = static_cast<wire::Rank>(machine_rank);
       s.machines.push_back(std::move(m));
     }
     g.shares.push_back(std::move(s));
--- a/src/share/share_controller.cpp
+++ b/src/share/share_controller.cpp
@@ -79,8 +79,8 @@
 
 // ---------------------------------------------------------------- events
 
-void ShareController::on_job_record(const std::string& id, const JobRecord& record, bool fresh, Micros now,
-                                    Micros time_of_day) {
+void ShareController::on_job_record(const std::string& id, const JobRecord& record,
+                                    bool accepted_after_takeover, Micros now, Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (record.final()) {
     rows_of_unplanned_jobs_.erase(id);
@@ -119,41 +119,41 @@
   j->rank = record.spec->rank;
   if (record.spec->deadline) j->finish_by = j->submitted + *record.spec->deadline;
   j->waiting_since = now;
-  j->accepted_since_takeover = fresh;
+  j->accepted_since_takeover = accepted_after_takeover;
   note_gpu_job(*record.spec);
   j->done = DoneSet(record.spec->tasks);
-  j->recorded = j->recorded_whole = j->done;
+  j->recorded = j->recorded_in_chunks = j->done;
   Job& known = *view_.jobs.emplace(id, std::move(j)).first->second;
   ++view_.change_count;
   const auto rows = rows_of_unplanned_jobs_.extract(id);
   if (rows)
-    for (const auto& [row, read] : rows.mapped()) load_done(id, row, read.text, read.version);
+    for (const auto& [row, read] : rows.mapped()) load_progress_row(id, row, read.text, read.version);
   // This must come before any of its tasks can be placed: machines may already have reported that some of
   // them are running or done.
   attribute_to_job(known, now);
 }
 
-void ShareController::set_priority_and_deadline(const std::string& id, const job::SchedulingGoals& course,
-                                                Micros now, Micros time_of_day) {
+void ShareController::set_scheduling_goals(const std::string& id, const job::SchedulingGoals& goals,
+                                           Micros now, Micros time_of_day) {
   auto it = view_.jobs.find(id);
   if (it == view_.jobs.end()) return;
   Job& j = *it->second;
   ++view_.change_count;
-  if (j.rank != course.rank) {
-    j.rank = course.rank;
+  if (j.rank != goals.rank) {
+    j.rank = goals.rank;
     for (const auto& [index, m] : j.active) m->task_summary_stale = true;
   }
-  j.ready = std::max(j.submitted, now - std::max<Micros>(0, time_of_day - course.ready));
+  j.ready = std::max(j.submitted, now - std::max<Micros>(0, time_of_day - goals.ready));
   j.finish_by.reset();
-  if (course.finish_by) j.finish_by = now + (*course.finish_by - time_of_day);
+  if (goals.finish_by) j.finish_by = now + (*goals.finish_by - time_of_day);
 }
 
 void ShareController::finish_loading(Micros now) {
   loaded_ = true;
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
-void ShareController::on_machine_record(const MachineRecord& record, bool handed_empty, Micros now) {
+void ShareController::on_machine_record(const MachineRecord& record, bool was_empty, Micros now) {
   const bool added = !view_.machines.contains(record.id);
   Machine& m = view_.add_machine(record);
   if (!added) return;
@@ -163,8 +163,8 @@
   // A machine recorded before the takeover may hold any attempt until it reports under our token, or until
   // the lease that a former owner could last have renewed has expired. A machine that joins later was empty
   // when it was handed over.
-  m.handed_over_empty = handed_empty;
-  m.lease_expires_at = latest_lease_end(handed_empty ? now : std::max(now, renewable_until_));
+  m.handed_over_empty = was_empty;
+  m.lease_expires_at = latest_lease_end(was_empty ? now : std::max(now, renewable_until_));
   m.idle_since = now;
   m.gpu_idle_since = now;
   m.neuron = placement_.rnn().add_machine(record.id);
@@ -173,27 +173,28 @@
 void ShareController::on_machine_removed(const std::string& id, Micros now) {
   auto it = view_.machines.find(id);
   if (it == view_.machines.end()) return;
-  drop_all_attempts(it->second, now, FreeReason::left_share);
+  free_all_attempts(it->second, now, FreeReason::left_share);
   placement_.rnn().remove_machine(it->second.neuron);
   view_.remove_machine(it);
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 // ---------------------------------------------------------------- planning
 
 /// Notes and logs when every machine has been accounted for after a takeover.
-void ShareController::update_rebuilt(Micros) {
-  if (view_.rebuilt || !loaded_) return;
+void ShareController::update_all_accounted_for(Micros) {
+  if (view_.all_accounted_for || !loaded_) return;
   for (const auto& [id, m] : view_.machines)
     if ((!m.accounted_for && !m.handed_over_empty) || awaits_job_records(m)) return;
-  view_.rebuilt = true;
+  view_.all_accounted_for = true;
   spdlog::info("share {}: all machines accounted for: {} machines, {} jobs", settings_.share,
                view_.machines.size(), view_.jobs.size());
 }
 
 /// Logs, once per takeover, how many machines keep it from completing, and the first of them.
 void ShareController::log_unaccounted_machines(Micros now) {
-  if (view_.rebuilt || logged_unaccounted_machines_ || now - taken_over_at_ < kUnaccountedLogDelay) return;
+  if (view_.all_accounted_for || logged_unaccounted_machines_ || now - taken_over_at_ < kUnaccountedLogDelay)
+    return;
   logged_unaccounted_machines_ = true;
   std::size_t unaccounted = 0;
   const Machine* first = nullptr;
@@ -212,11 +213,11 @@
   for (Machine* entry : view_.machines_by_id) {
     Machine& m = *entry;
     if (now >= m.lease_expires_at && (m.up || !m.accounted_for)) {
-      drop_all_attempts(m, now, FreeReason::lease_expired);
+      free_all_attempts(m, now, FreeReason::lease_expired);
       m.up = false;
       m.accounted_for = true;
       view_.note_new_capacity();
-      update_rebuilt(now);
+      update_all_accounted_for(now);
     }
     measure_result_wait(m, now);
     if (m.drain_until > 0 && now >= m.drain_until)
@@ -236,7 +237,7 @@
     return false;
   }
   // The cost of a pass depends on what has changed: placements that failed are not tried again until
-  // something changes, and without any change there is no pass. Effects of time alone (reserved room that
+  // something changes, and without any change there is no pass. Effects of time alone (reserved capacity that
   // becomes free, a deadline that comes near) are looked for every kFullPassInterval.
   const bool due = now - last_full_pass_ >= kFullPassInterval || now < last_full_pass_;
   if (due) last_full_pass_ = now, view_.note_new_capacity();
--- a/src/share/share_controller.h
+++ b/src/share/share_controller.h
@@ -45,8 +45,8 @@
   wire::Shape shape = wire::Shape::array;
   bool spot = false, one_zone = false;
   bool excludes_gpu_machines = false;  // for now it waits for a machine without GPUs
-  bool starved = false;  // no task has started for long: machines of other shares should be freed for it
-  bool accepts_any_machine = false;  // waiting even longer: may also run beside GPU tasks
+  bool starved = false;  // no task has started for long: the leader drains machines of other shares for it
+  bool accepts_any_machine = false;  // starved for longer: may also use machines kept for GPU work
   std::uint32_t waiting = 0, running = 0;
   std::uint32_t closed_zone_mask = 0;  // zones that may take no more of its tasks: one bit each
   std::uint32_t max_per_zone = 0;      // most tasks in one zone; 0: no limit
@@ -60,10 +60,10 @@
   Resources free;
   bool usable = false;       // tasks may be placed on it now
   bool empty = false;        // may leave the share: holds no attempts and no results that are still needed
-  bool worker_lost = false;  // its lease expired, or messages don't reach its worker for longer than a lease
+  bool worker_lost = false;  // its lease expired, or messages do not reach its worker for longer than a lease
   bool suspect = false;
   std::uint32_t idle_ms = 0;
-  wire::Rank top_rank = wire::Rank::low;  // highest rank among its tasks
+  wire::Rank highest_rank = wire::Rank::low;  // highest rank among its tasks
 };
 
 struct ShareControllerSettings {
@@ -94,27 +94,28 @@
   // ---- events
 
   /// Takes in a new or changed record of a job that this share plans; for a job that has ended, stops its
-  /// attempts. `fresh`: the job was accepted after the takeover, so that none of its tasks can run yet.
-  void on_job_record(const std::string& id, const JobRecord& record, bool fresh, Micros now,
+  /// attempts. `accepted_after_takeover`: so that none of its tasks can run yet.
+  void on_job_record(const std::string& id, const JobRecord& record, bool accepted_after_takeover, Micros now,
                      Micros time_of_day);
   /// Notes which machine types the GPU tasks of a job can use. Called for the jobs of all shares.
   void note_gpu_job(const JobSpec& spec) { placement_.note_gpu_job(spec); }
-  /// Sets a job's effective priority and deadline, which also depend on the jobs that wait for it.
-  void set_priority_and_deadline(const std::string& id, const job::SchedulingGoals& course, Micros now,
-                                 Micros time_of_day);
+  /// Sets a job's rank, ready time and latest finish, which also depend on its undecided dependents.
+  void set_scheduling_goals(const std::string& id, const job::SchedulingGoals& goals, Micros now,
+                            Micros time_of_day);
   /// All job records are known as of `as_of` or later: a job without a record by then was not accepted
   /// before `as_of`.
-  void records_read(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
-  /// Takes in a progress row (finished tasks) that a former owner wrote. `row`: see DoneWrite::row.
-  void load_done(const std::string& job, std::uint32_t row, const std::string& text, std::uint64_t version);
+  void set_records_as_of(Micros as_of) { records_as_of_ = std::max(records_as_of_, as_of); }
+  /// Takes in a progress row (finished tasks) that a former owner wrote. `row`: see ProgressWrite::row.
+  void load_progress_row(const std::string& job, std::uint32_t row, const std::string& text,
+                         std::uint64_t version);
   /// Set when all controllers read rows of single units, so that workers may forget results that are recorded
   /// only in such rows.
   void set_all_controllers_read_units(bool on) { all_controllers_read_units_ = on; }
   /// All jobs, progress rows and machines of the share have been passed in; nothing is placed before.
   void finish_loading(Micros now);
-  /// Takes in the record of a machine of this share. `handed_over_empty`: the record was written after the
+  /// Takes in the record of a machine of this share. `was_empty`: the record was written after the
   /// takeover, so the machine was empty when it joined the share.
-  void on_machine_record(const MachineRecord& record, bool handed_empty, Micros now);
+  void on_machine_record(const MachineRecord& record, bool was_empty, Micros now);
   /// The machine's record was deleted or names another share.
   void on_machine_removed(const std::string& id, Micros now);
 
@@ -140,7 +141,7 @@
   /// Outcome of a push. `status`: 200 if the worker executed the orders, 409 if it refused the push; both
   /// come with the worker's report. Anything else: no valid answer arrived, and the orders may still be
   /// executed.
-  void pushed(const std::string& machine, int status, const wire::WorkerReport* report, Micros now);
+  void on_push_result(const std::string& machine, int status, const wire::WorkerReport* report, Micros now);
 
   /// Handles expired worker leases, placement and preemption. Returns true if the placement pass was long and
   /// stopped before its end; call it again soon, after other pending work (leases, reports).
@@ -149,15 +150,16 @@
   // ---- progress rows in the state service
 
   /// A write of a progress row, which lists finished tasks of a job.
-  struct DoneWrite {
+  struct ProgressWrite {
     std::string job;
     std::uint32_t row = 0;  // a chunk, or kFirstUnitRow plus a unit
     std::string text;
     std::uint64_t version = 0;  // the write's guard: the row's version as last seen
   };
   /// Returns the rows to write now, at most `max_writes`, and marks them as in flight. Rows that keep
-  /// machines from leaving the share come first. The caller must pass each outcome to on_done_write_result().
-  std::vector<DoneWrite> take_done_writes(std::size_t max_writes, Micros now = 0);
+  /// machines from leaving the share come first. The caller must pass each outcome to
+  /// on_progress_write_result().
+  std::vector<ProgressWrite> take_progress_writes(std::size_t max_writes, Micros now = 0);
   /// Row numbers below this are chunks, those from it on are single units.
   static constexpr std::uint32_t kFirstUnitRow = 1U << 16;
   /// After this many consecutive lost pushes, tasks are started only in answers to reports, until a push
@@ -165,15 +167,15 @@
   static constexpr int kMaxLostPushes = 2;
   /// Name of a progress row below its job: "<chunk>" or "u/<unit>". parse_row_name takes "<job>/<chunk>" or
   /// "<job>/u/<unit>" and returns the job and the row; nothing if the name is malformed. The first version of
-  /// the controller takes a unit's row for one of a job "<job>/u" that it doesn't know.
+  /// the controller takes a unit's row for one of a job "<job>/u" that it does not know.
   static std::string row_name(std::uint32_t row);
   static std::optional<std::pair<std::string, std::uint32_t>> parse_row_name(const std::string& name);
   /// `version`: the row's version after the write, or as found if the write failed.
-  void on_done_write_result(const DoneWrite& w, bool ok, std::uint64_t version);
+  void on_progress_write_result(const ProgressWrite& w, bool ok, std::uint64_t version);
   /// Jobs with all tasks done whose final status is not being committed yet.
   std::vector<std::string> jobs_to_commit() const;
   /// Names of the job's existing progress rows, with the job's id in front.
-  std::vector<std::string> done_row_keys(const std::string& job) const;
+  std::vector<std::string> progress_row_names(const std::string& job) const;
   /// Whether the job's final status is being committed; nothing of the job is placed meanwhile.
   void set_committing(const std::string& job, bool on);
 
@@ -191,7 +193,7 @@
     Micros oldest_age = 0;
   };
   HeldResults held_results(Micros now) const;
-  /// Chunks of unfinished jobs that this share doesn't plan but of which its machines hold results. The jobs
+  /// Chunks of unfinished jobs that this share does not plan but of which its machines hold results. The jobs
   /// belong to other shares, or were not ready yet when last read.
   std::set<std::pair<std::string, std::uint32_t>> needed_chunks_of_other_shares() const;
   /// `text`: what the owner of another share has recorded of such a chunk.
@@ -207,22 +209,22 @@
   std::vector<Micros> take_result_waits() { return std::exchange(result_waits_, {}); }
   /// The released machine was not moved after all: tasks may be placed on it again.
   void cancel_release(const std::string& machine);
-  /// Frees the machine for share `to`, whose tasks of rank `rank` wait for room: stops its tasks if all of
-  /// them rank below `rank`, otherwise leaves it unchanged. With the lowest rank nothing is stopped, but
+  /// Frees the machine for share `to`, whose tasks of rank `rank` wait for capacity: stops its tasks if all
+  /// of them rank below `rank`, otherwise leaves it unchanged. With the lowest rank nothing is stopped, but
   /// nothing more is placed on the machine for a while.
   void drain(const std::string& machine, int to, wire::Rank rank, Micros now);
-  /// Drained machines that may leave now, and the share that each is for (-1: it is given back).
+  /// Drained machines that may leave now, and the share that each is for (-1: it is returned to the cloud).
   std::vector<std::pair<std::string, int>> drained_machines() const;
 
   // ---- queries
 
-  /// Numbers of done and of running tasks of a job; nothing if this share doesn't plan it.
+  /// Numbers of done and of running tasks of a job; nothing if this share does not plan it.
   std::optional<std::pair<std::uint32_t, std::uint32_t>> task_counts(const std::string& job) const;
   /// Waiting work and machines, as reported to the leader.
   std::vector<Demand> demands(Micros now) const;
   std::vector<MachineState> machine_states(Micros now) const;
   /// Whether every machine has been accounted for since the takeover.
-  bool rebuilt() const { return view_.rebuilt; }
+  bool all_accounted_for() const { return view_.all_accounted_for; }
   bool has_machine(const std::string& id) const { return view_.machines.contains(id); }
   std::uint64_t epoch() const { return epoch_; }
   /// Number of attempts numbered in this epoch; at place::kAttemptsPerEpoch nothing more is started.
@@ -263,8 +265,8 @@
   static ReportFreshness freshness_of(const Machine& m, const wire::WorkerReport& r);
   std::uint64_t current_token(const Machine& m) const;
   bool apply_report(Machine& m, const wire::WorkerReport& r, bool own_report, Micros now);
-  void drop_all_attempts(Machine& m, Micros now, FreeReason why);
-  void doubt_delivery(Machine& m, Micros now, const char* why);
+  void free_all_attempts(Machine& m, Micros now, FreeReason why);
+  void mark_delivery_in_doubt(Machine& m, Micros now, const char* why);
   void on_task_succeeded(Job& j, Machine& m, const TaskAttempt& p, Micros now);
   void on_task_failed(Job& j, Machine& m, Micros now);
   /// What the job records say about a job that a machine reports.
@@ -286,7 +288,7 @@
   void count_start_refusal(StartRefusal why) { ++refused_starts_.at(static_cast<std::size_t>(why)); }
   std::vector<Order> take_orders(Machine& m, bool by_push, std::uint64_t answer_seq,
                                  StartRefusal owner_refusal, Micros now);
-  void update_rebuilt(Micros now);
+  void update_all_accounted_for(Micros now);
   void log_unaccounted_machines(Micros now);
   static void complete_gang(Job& j);
   static void merge_recorded_row(Job& j, std::uint32_t row, const std::string& text);
@@ -305,7 +307,7 @@
     std::set<std::uint32_t> units;  // that those machines' results belong to
   };
   std::map<std::string, WriteUrgency> write_urgency_by_job(Micros now) const;
-  void append_row_write(Job& j, std::uint32_t unit, std::vector<DoneWrite>& out);
+  void append_row_write(Job& j, std::uint32_t unit, std::vector<ProgressWrite>& out);
 
   const wire::PlatformSettings& platform_;
   const std::vector<wire::MachineType>& types_;
--- a/src/share/share_controller_attribution.cpp
+++ b/src/share/share_controller_attribution.cpp
@@ -1,5 +1,5 @@
 // ShareController: assigns the attempts and results that machines report to their jobs. A report may arrive
-// before its job's record has been read, so a missing record doesn't mean that the job doesn't exist. Until
+// before its job's record has been read, so a missing record does not mean that the job does not exist. Until
 // the job records are known as of a time after the report, the attempt stays listed on its machine as
 // unattributed: nothing else is placed on that machine, and the attempt's task is not placed anywhere.
 #include <spdlog/spdlog.h>
@@ -18,7 +18,7 @@
   const JobRecord* record = lookup_job_(job);
   if (record && record->final()) return JobDisposition::ended;
   if (!record || !record->spec) return JobDisposition::not_known;  // no record, or an incomplete one
-  // As far as we know, a job of this share that is not planned is still waiting for other jobs.
+  // As far as we know, a job of this share that is not planned still has open dependencies.
   const bool ours = !settings_.owns_team || settings_.owns_team(record->spec->team);
   return ours ? JobDisposition::not_known : JobDisposition::of_another_share;
 }
@@ -67,9 +67,9 @@
       p.unattributed = may_have_job_record(p);
       if (p.unattributed) break;
       // If its job had been accepted before the attempt was reported, a record would be known by now. Or
-      // there is a record, and the job still waits for others, so none of its tasks may run.
-      spdlog::info("machine {}: stopping {}/{} try {}: its job doesn't exist or may not run yet", m.record.id,
-                   p.job_id, p.index, p.attempt);
+      // there is a record, and the job still has open dependencies, so none of its tasks may run.
+      spdlog::info("machine {}: stopping {}/{} attempt {}: its job doesn't exist or may not run yet",
+                   m.record.id, p.job_id, p.index, p.attempt);
       ++attribution_counts_.dropped_attempts;
       view_.halt(p, 0);
       break;
@@ -124,11 +124,11 @@
       add_attempt(*m, view_.take_unattributed(*m, current), now);
     }
   }
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 /// Handles unattributed attempts whose jobs, by the records read since, have ended, belong to another share
-/// or don't exist.
+/// or do not exist.
 void ShareController::resolve_unattributed_attempts(Micros now) {
   if (view_.unattributed == 0) return;
   for (Machine* m : view_.machines_by_id) {
@@ -142,18 +142,18 @@
       add_attempt(*m, view_.take_unattributed(*m, current), now);
     }
   }
-  update_rebuilt(now);
+  update_all_accounted_for(now);
 }
 
 ShareController::AttributionCounts ShareController::attribution_counts() const {
-  AttributionCounts now = attribution_counts_;
-  now.unattributed_attempts = view_.unattributed;
+  AttributionCounts counts = attribution_counts_;
+  counts.unattributed_attempts = view_.unattributed;
   for (const Machine* m : view_.machines_by_id)
     for (const auto& [task, result] : m->results)
       if (disposition_of(task.first) == JobDisposition::not_known &&
           result_copy_needed(task, result.first_reported))
-        ++now.unattributed_results;
-  return now;
+        ++counts.unattributed_results;
+  return counts;
 }
 
 }  // namespace aspenwick::share
--- a/src/share/share_controller_reports.cpp
+++ b/src/share/share_controller_reports.cpp
@@ -66,14 +66,14 @@
     const Micros answered = m.lease_expires_at - latest_lease_end(0);
     const bool answers_lost =
         m.session != 0 && m.accounted_for && m.up && now - answered < platform_.worker_lease;
-    if (m.session != 0) drop_all_attempts(m, now, FreeReason::new_session);
+    if (m.session != 0) free_all_attempts(m, now, FreeReason::new_session);
     // A session's lease starts with the session, before any report is answered. If the session became known
     // through a push, it may have begun just now, and an attempt that we start in it lives for that lease.
     // Before a machine is accounted for we start nothing on it, and its former owner knew no session that
     // began later.
     if (m.accounted_for) m.lease_expires_at = std::max(m.lease_expires_at, latest_lease_end(now));
     // A session ends when no answer arrives for the length of a lease, but answers were sent in that time.
-    if (answers_lost) doubt_delivery(m, now, "its session ended although answers were sent");
+    if (answers_lost) mark_delivery_in_doubt(m, now, "its session ended although answers were sent");
     m.own_report_seq = 0;
   }
   m.session = r.session;
@@ -143,13 +143,13 @@
       view_.free_attempt(m, current, now,
                          placed.fence_token != 0 ? FreeReason::fenced : FreeReason::not_listed);
   }
-  if (answers_lost) doubt_delivery(m, now, "an answer did not arrive");
+  if (answers_lost) mark_delivery_in_doubt(m, now, "an answer did not arrive");
   if (!m.accounted_for && r.token >= min_token(m)) {
     m.accounted_for = true;
     m.lease_expires_at =
         std::max(m.lease_expires_at, latest_lease_end(now));  // the lease of this session, see above
     view_.note_new_capacity(m);
-    update_rebuilt(now);
+    update_all_accounted_for(now);
   }
   return true;
 }
@@ -185,7 +185,7 @@
     if (t.cause == ExitCause::no_room && j) j->not_before = std::max(j->not_before, now + 200 * kMillisecond);
     if (t.cause == ExitCause::gang_incomplete && j) j->incomplete_attempt = t.attempt;
     if (t.cause == ExitCause::unknown && j) j->not_before = now + 2 * kSecond;
-    spdlog::debug("exited {}/{} try {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
+    spdlog::debug("exited {}/{} attempt {} on {}, cause {}", t.job, t.index, t.attempt, m.record.id,
                   static_cast<int>(t.cause));
     view_.free_attempt(m, p, now, FreeReason::exited);
   }
@@ -220,14 +220,14 @@
   const double goal = settings_.rnn.relative_goals ? run / (j.run_seconds / j.finished_runs) : run;
   placement_.rnn().learn(m.neuron, goal);
   if (spdlog::should_log(spdlog::level::debug))
-    spdlog::debug("learn {} goal {:.3f} threshold {:.3f} q {:.4f}", m.record.id, goal,
+    spdlog::debug("learned from a task on {}: goal {:.3f}, threshold {:.3f}, q {:.4f}", m.record.id, goal,
                   placement_.rnn().threshold(), placement_.rnn().q(m.neuron));
 }
 
 /// Counts an error against the job and the machine, and decides which of the two is at fault.
 void ShareController::on_task_failed(Job& j, Machine& m, Micros now) {
   ++j.error_count;
-  // A machine is avoided only for some time: if it is the only one with room, the job would wait forever.
+  // A machine is avoided only for some time: if it is the only one with capacity, the job would wait forever.
   std::erase_if(j.avoided_machines, [&](const auto& bad) { return bad.second <= now; });
   j.avoided_machines[m.record.id] = now + settings_.suspect_for;
   m.error_jobs.insert(j.id);
@@ -249,22 +249,22 @@
   }
 }
 
-/// Drops all attempts and results of a machine whose worker has certainly lost them.
-void ShareController::drop_all_attempts(Machine& m, Micros now, FreeReason why) {
+/// Frees all attempts and drops all results of a machine whose worker has certainly lost them.
+void ShareController::free_all_attempts(Machine& m, Micros now, FreeReason why) {
   if (!m.tasks.empty())
-    spdlog::info("machine {}: dropped {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
+    spdlog::info("machine {}: freed {} attempts ({})", m.record.id, m.tasks.size(), place::to_string(why));
   while (!m.tasks.empty()) view_.free_attempt(m, m.tasks.begin(), now, why);
   m.pending_forgets.clear();
   m.results.clear();  // the worker loses them with its session
 }
 
-/// The machine's reports arrive, but our messages to it seem to get lost. Raises its token, so that a report
-/// which shows the new token proves that a message has arrived. Until then nothing is placed on the machine,
-/// and attempts whose orders were not sent yet are placed elsewhere.
-void ShareController::doubt_delivery(Machine& m, Micros now, const char* why) {
+/// Puts the machine in doubt: its reports arrive, but our messages to it seem to get lost. Raises its token,
+/// so that a report which shows the new token proves that a message has arrived. Until then nothing is placed
+/// on the machine, and attempts whose orders were not sent yet are placed elsewhere.
+void ShareController::mark_delivery_in_doubt(Machine& m, Micros now, const char* why) {
   ++m.token_offset;
   if (!m.delivery.in_doubt()) spdlog::debug("machine {} is in doubt: {}", m.record.id, why);
-  m.delivery.doubt(current_token(m), now);
+  m.delivery.mark_in_doubt(current_token(m), now);
   view_.machines_to_contact.insert(&m);  // push to it at once, to get a report
   for (auto it = m.tasks.begin(); it != m.tasks.end();) {
     auto current = it++;
--- a/tests/attribution_test.cpp
+++ b/tests/attribution_test.cpp
@@ -47,16 +47,16 @@
   EXPECT_EQ(controller.task_counts("j-1")->first, 1U);
   EXPECT_EQ(controller.describe_attempts().size(), 1U);  // task 1
   EXPECT_EQ(controller.attribution_counts().attributed_results, 1U);
-  EXPECT_EQ(controller.take_done_writes(10, now).size(), 1U);  // the result is also written
+  EXPECT_EQ(controller.take_progress_writes(10, now).size(), 1U);  // the result is also written
 }
 
-// A new owner reads the progress rows of its share before the record of a job has arrived. load_done took an
-// unknown job for one that does not exist and dropped the row: tasks that were done were started again, and
-// the row was written again without them.
+// A new owner reads the progress rows of its share before the record of a job has arrived. load_progress_row
+// took an unknown job for one that does not exist and dropped the row: tasks that were done were started
+// again, and the row was written again without them.
 TEST_F(AttributionTest, ProgressRowsLoadedBeforeTheJobRecordAreKept) {
   job::DoneSet recorded(3);
   recorded.set(0), recorded.set(1);
-  controller.load_done("j-1", 0, recorded.chunk_text(0), 7);
+  controller.load_progress_row("j-1", 0, recorded.chunk_text(0), 7);
   send_report("i-1", {});
   send_report("i-2", {});
   add_job("j-1", 3);
@@ -65,7 +65,7 @@
   EXPECT_EQ(controller.describe_attempts().size(), 1U);  // task 2
   send_report("i-1", {done_task("j-1", 2)});
   EXPECT_EQ(controller.jobs_to_commit().size(), 1U);
-  EXPECT_EQ(controller.done_row_keys("j-1"), (std::vector<std::string>{"j-1/0"}));
+  EXPECT_EQ(controller.progress_row_names("j-1"), (std::vector<std::string>{"j-1/0"}));
 }
 
 // A worker's answer to a push contains a report and is handled like one.
@@ -76,7 +76,7 @@
   answer.machine = "i-1", answer.address = "127.0.0.1:9", answer.type = "cpu8", answer.zone = "z1";
   answer.session = 1, answer.seq = ++seq, answer.token = kEpoch << place::kEpochShift;
   answer.tasks = {running_task("j-1", 0), done_task("j-1", 1)};
-  controller.pushed("i-1", 409, &answer, now);
+  controller.on_push_result("i-1", 409, &answer, now);
   add_job("j-1", 2);
   run_placement();
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 running"});
@@ -102,12 +102,12 @@
   add_record("j-2", 4, "array", "tight");
   deliver_record("j-2");
   run_placement();
-  EXPECT_FALSE(controller.rebuilt());
+  EXPECT_FALSE(controller.all_accounted_for());
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 running"});
   add_record("j-1", 1, "array", "tight");
   deliver_record("j-1");
   run_placement();
-  EXPECT_TRUE(controller.rebuilt());
+  EXPECT_TRUE(controller.all_accounted_for());
   EXPECT_EQ(controller.describe_attempts().size(), 4U);  // of 2 CPUs each, 8 in all
 }
 
@@ -116,16 +116,16 @@
   send_report("i-2", {});
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-2", 0)}).empty());
   const Micros reported = now;
-  controller.records_read(reported);
+  controller.set_records_as_of(reported);
   now += kSecond;
   run_placement();
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 running"});
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-2", 0)}).empty());
-  EXPECT_FALSE(controller.rebuilt());
-  controller.records_read(reported + 1);
+  EXPECT_FALSE(controller.all_accounted_for());
+  controller.set_records_as_of(reported + 1);
   run_placement();
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 halting"});
-  EXPECT_TRUE(controller.rebuilt());
+  EXPECT_TRUE(controller.all_accounted_for());
   EXPECT_EQ(send_report("i-1", {running_task("j-1", 0), done_task("j-2", 0)}),
             (std::set<place::TaskKey>{{"j-2", 0}}));
   EXPECT_EQ(controller.attribution_counts().dropped_attempts, 1U);
@@ -137,12 +137,12 @@
   records["j-1"] = {};
   send_report("i-2", {});
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-1", 1)}).empty());
-  controller.records_read(now + 1);
+  controller.set_records_as_of(now + 1);
   run_placement();
   EXPECT_EQ(controller.describe_attempts(), AttemptLines{"i-1 j-1/0 running"});
   EXPECT_TRUE(send_report("i-1", {running_task("j-1", 0), done_task("j-1", 1)}).empty());
-  EXPECT_TRUE(
-      controller.rebuilt());  // it keeps its machine from being released, not the share from being rebuilt
+  EXPECT_TRUE(controller.all_accounted_for());  // it keeps its machine from being released, not the share
+                                                // from being rebuilt
   EXPECT_FALSE(controller.release("i-1", now));
 }
 
--- a/tests/cancellation_broadcast_test.cpp
+++ b/tests/cancellation_broadcast_test.cpp
@@ -23,7 +23,7 @@
   a.add("j-2", 99);  // b has read its record
   a.add("j-3", 102);
   for (int i = 0; i < 2; ++i) EXPECT_EQ(ids(a.message_for("b")), (std::vector<std::string>{"j-1", "j-3"}));
-  EXPECT_TRUE(b.heard(*a.message_for("b")));
+  EXPECT_TRUE(b.receive(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 3U);
   a.set_peer_progress("b", 100, b.received_up_to("a", 11));
   EXPECT_FALSE(a.message_for("b"));
@@ -39,10 +39,10 @@
   a.add("j-1", 101);
   a.set_peer_progress("b", 100, 1);  // reported by b's former process
   a.add("j-2", 102);
-  EXPECT_FALSE(b.heard(*a.message_for("b")));
+  EXPECT_FALSE(b.receive(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 0U);
   a.set_peer_progress("b", 100, b.received_up_to("a", 11));
-  EXPECT_TRUE(b.heard(*a.message_for("b")));
+  EXPECT_TRUE(b.receive(*a.message_for("b")));
   EXPECT_EQ(b.received_up_to("a", 11), 2U);
 }
 
@@ -53,8 +53,8 @@
   former_process.add("j-1", 101);
   former_process.add("j-2", 102);
   new_process.add("j-3", 103);
-  b.heard(*former_process.message_for("b"));
-  b.heard(*new_process.message_for("b"));
+  b.receive(*former_process.message_for("b"));
+  b.receive(*new_process.message_for("b"));
   EXPECT_EQ(b.received_up_to("a", 11), 0U);
   EXPECT_EQ(b.received_up_to("a", 12), 1U);
 }
@@ -69,7 +69,7 @@
   a.set_peer_progress("b", 110, 0);  // it has read the ten dropped ones
   while (const auto notice = a.message_for("b")) {
     EXPECT_LE(encode(*notice).size(), kMaxFrameSize);
-    EXPECT_TRUE(b.heard(*notice));
+    EXPECT_TRUE(b.receive(*notice));
     a.set_peer_progress("b", 110, b.received_up_to("a", 11));
   }
   EXPECT_EQ(b.received_up_to("a", 11), a.highest_number());
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -136,9 +136,10 @@
     return controller.on_report(r, 0, place::StartRefusal::lease_not_valid)->orders.size();
   }
   /// Writes all rows that are due, successfully, and returns them.
-  static std::vector<share::ShareController::DoneWrite> write_done_rows(share::ShareController& controller) {
-    auto writes = controller.take_done_writes(100);
-    for (const auto& w : writes) controller.on_done_write_result(w, true, 3);
+  static std::vector<share::ShareController::ProgressWrite> write_done_rows(
+      share::ShareController& controller) {
+    auto writes = controller.take_progress_writes(100);
+    for (const auto& w : writes) controller.on_progress_write_result(w, true, 3);
     return writes;
   }
 
@@ -172,20 +173,21 @@
   // A successor loads all of them.
   auto successor = make_controller();
   for (const auto& w : {first_writes[0], later_writes[0], later_writes[1]})
-    successor->load_done("j-000412", w.row, w.text, 3);
+    successor->load_progress_row("j-000412", w.row, w.text, 3);
   EXPECT_EQ(successor->task_counts("j-000412")->first, 700U);
 }
 
 TEST_F(LargeJobTest, ALongRowOfAnOlderVersionIsNotOverwritten) {
   auto controller = make_controller();
-  controller->load_done("j-000412", 0, std::string(4000, 'f'), 9);
+  controller->load_progress_row("j-000412", 0, std::string(4000, 'f'), 9);
   controller->finish_loading(0);
   EXPECT_EQ(report_done(*controller, 0, 10), 10U);
   report_done(*controller, 16'100, 16'200);
   const auto writes = write_done_rows(*controller);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(share::ShareController::row_name(writes[0].row), "u/7");
-  EXPECT_EQ(controller->done_row_keys("j-000412"), (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
+  EXPECT_EQ(controller->progress_row_names("j-000412"),
+            (std::vector<std::string>{"j-000412/0", "j-000412/u/7"}));
 }
 
 TEST(Compatibility, UnitRowNamesAreNotJobIdsToAnOlderVersion) {
--- a/tests/held_results_test.cpp
+++ b/tests/held_results_test.cpp
@@ -23,15 +23,15 @@
   EXPECT_EQ(controller.held_results(now + kSecond).results, 1U);
   EXPECT_EQ(controller.held_results(now + kSecond).oldest_age, kSecond);
   // The answer to the commit is lost: whether it was executed or not, the result counts as not recorded.
-  auto writes = controller.take_done_writes(10, now);
+  auto writes = controller.take_progress_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_FALSE(controller.release("i-1", now));  // the write is in flight
-  controller.on_done_write_result(writes[0], false, 5);
+  controller.on_progress_write_result(writes[0], false, 5);
   EXPECT_FALSE(controller.release("i-1", now));
-  writes = controller.take_done_writes(10, now);
+  writes = controller.take_progress_writes(10, now);
   ASSERT_EQ(writes.size(), 1U);
   EXPECT_EQ(writes[0].version, 5U);
-  controller.on_done_write_result(writes[0], true, 6);
+  controller.on_progress_write_result(writes[0], true, 6);
   EXPECT_TRUE(reported_empty("i-1"));
   EXPECT_EQ(controller.drained_machines().size(), 1U);
   EXPECT_TRUE(controller.release("i-1", now));
@@ -74,7 +74,7 @@
   for (std::uint32_t i = 0; i < 50; ++i) tasks.push_back(done_task("j-1", i));
   send_report("i-1", tasks);
   auto next_written_job = [this] {
-    const auto writes = controller.take_done_writes(1, now);
+    const auto writes = controller.take_progress_writes(1, now);
     return writes.empty() ? "" : writes[0].job;
   };
   send_report("i-2", {done_task("j-2", 0)});
@@ -94,7 +94,7 @@
   for (std::uint32_t i = 0; i < 50; ++i) tasks.push_back(done_task("j-1", i));
   send_report("i-1", tasks);
   send_report("i-2", {done_task("j-2", 0)});
-  const auto first = controller.take_done_writes(1, now);
+  const auto first = controller.take_progress_writes(1, now);
   ASSERT_EQ(first.size(), 1U);
   EXPECT_EQ(first[0].job, "j-2");
 }
@@ -111,7 +111,7 @@
   now += 120 * kSecond;
   controller.tick(now, StartRefusal::records_stale);  // its lease has surely expired
   EXPECT_TRUE(controller.release("i-2", now));
-  ASSERT_EQ(controller.take_done_writes(10, now).size(), 1U);
+  ASSERT_EQ(controller.take_progress_writes(10, now).size(), 1U);
   EXPECT_EQ(controller.task_counts("j-1")->first, 2U);
 }
 
@@ -139,7 +139,7 @@
   add_job("j-1", 5);
   send_report("i-1", {done_task("j-1", 0)});
   controller.tick(now, StartRefusal::records_stale);
-  controller.on_done_write_result(controller.take_done_writes(1, now).at(0), true, 5);
+  controller.on_progress_write_result(controller.take_progress_writes(1, now).at(0), true, 5);
   now += 3 * kSecond;
   controller.tick(now, StartRefusal::records_stale);
   EXPECT_EQ(controller.take_result_waits(), std::vector<Micros>{3 * kSecond});
--- a/tests/provisioner_test.cpp
+++ b/tests/provisioner_test.cpp
@@ -61,7 +61,7 @@
 TEST_F(ProvisionerTest, DoesNotRetryARefusedOfferImmediately) {
   const std::vector<ShareReport> reports{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
   const auto first = actions_of_type<RentMachines>(provisioner_.tick(now_, reports, records_));
-  provisioner_.rented(first[0], 503, {}, now_);
+  provisioner_.on_rent_result(first[0], 503, {}, now_);
   const auto second = actions_of_type<RentMachines>(provisioner_.tick(now_, reports, records_));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(second[0].zone + (second[0].spot ? "s" : ""), first[0].zone + (first[0].spot ? "s" : ""));
@@ -70,7 +70,7 @@
 TEST_F(ProvisionerTest, CountsBootingMachinesAsCapacityAndDeletesThoseThatBootTooLong) {
   const std::vector<ShareReport> reports{{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}};
   const auto rent = actions_of_type<RentMachines>(provisioner_.tick(now_, reports, records_));
-  provisioner_.rented(rent[0], 200, {"i-000001"}, now_);
+  provisioner_.on_rent_result(rent[0], 200, {"i-000001"}, now_);
   EXPECT_TRUE(actions_of_type<RentMachines>(provisioner_.tick(now_, reports, records_)).empty());
   const auto deletions =
       actions_of_type<DeleteMachines>(provisioner_.tick(now_ + 300 * kSecond, reports, records_));
@@ -87,7 +87,7 @@
     auto m = add_machine("i-00000" + std::to_string(i), 0, 0);
     m.empty = false;
     m.free.cpus -= wire::to_millionths(i < 5 ? 2 : 8);  // the last five are full
-    if (i == 0) m.top_rank = wire::Rank::production;
+    if (i == 0) m.highest_rank = wire::Rank::production;
     donor.machines.push_back(m);
   }
   ShareReport recipient{1, true, {demand(2, 500, true, wire::Rank::low)}, {}};
@@ -137,7 +137,8 @@
 }
 
 TEST_F(ProvisionerTest, CountsBootingMachinesThatAFormerLeaderRented) {
-  provisioner_.listed({{"i-000009", "", "cpu8", "z1", "booting", true, 10 * kSecond}}, records_, now_);
+  provisioner_.on_machines_listed({{"i-000009", "", "cpu8", "z1", "booting", true, 10 * kSecond}}, records_,
+                                  now_);
   EXPECT_TRUE(actions_of_type<RentMachines>(
                   provisioner_.tick(now_, {{0, true, {demand(2, 4, true, wire::Rank::high)}, {}}}, records_))
                   .empty());
@@ -155,7 +156,7 @@
   d.shape = wire::Shape::gang, d.one_zone = true;
   for (const auto& t : types_)
     for (const auto& z : t.zones)
-      for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
+      for (const bool spot : {true, false}) provisioner_.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   d.type_mask = 1;
   const auto actions_for_three = provisioner_.tick(now_, {idle, {1, true, {d}, {}}}, records_);
   EXPECT_TRUE(actions_of_type<MoveMachine>(actions_for_three).empty());
@@ -184,12 +185,12 @@
   share::Demand d = demand(1, 60, true, wire::Rank::low);
   d.slack_ms = 240'000;
   for (const auto& z : types_[0].zones)
-    for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
+    for (const bool spot : {true, false}) provisioner_.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   EXPECT_FALSE(
       actions_of_type<RentMachines>(provisioner_.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
   Provisioner other{platform_, types_, {}};
   for (const auto& z : types_[0].zones)
-    for (const bool spot : {true, false}) other.rented({0, z, spot, 1, -1}, 503, {}, now_);
+    for (const bool spot : {true, false}) other.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   d.running = 16;  // these finish the backlog in 144 s
   EXPECT_TRUE(actions_of_type<RentMachines>(other.tick(now_, {{0, true, {d}, {}}}, records_)).empty());
 }
@@ -205,7 +206,7 @@
   }
   report.demands[0].running = 16;
   for (const auto& z : types_[0].zones)
-    for (const bool spot : {true, false}) provisioner_.rented({0, z, spot, 1, -1}, 503, {}, now_);
+    for (const bool spot : {true, false}) provisioner_.on_rent_result({0, z, spot, 1, -1}, 503, {}, now_);
   EXPECT_TRUE(actions_of_type<RentMachines>(provisioner_.tick(now_, {report}, records_)).empty());
 }
 
@@ -214,7 +215,8 @@
   d.shape = wire::Shape::service, d.slack_ms = 4'000;
   auto low = add_machine("i-000001", 0, 0);
   low.empty = false, low.free = {};
-  provisioner_.listed({{"i-000009", "", "cpu8", "z1", "booting", false, 2 * kSecond}}, records_, now_);
+  provisioner_.on_machines_listed({{"i-000009", "", "cpu8", "z1", "booting", false, 2 * kSecond}}, records_,
+                                  now_);
   const auto moves = actions_of_type<MoveMachine>(
       provisioner_.tick(now_, {{0, true, {}, {low}}, {1, true, {d}, {}}}, records_));
   ASSERT_EQ(moves.size(), 1U);
@@ -230,7 +232,7 @@
   records_["i-000001"].type = records_["i-000002"].type = "gpu4";
   records_["i-000001"].spot = true;
   spot.free = types_[1].total, on_demand.free = {}, on_demand.empty = false,
-  on_demand.top_rank = wire::Rank::normal;
+  on_demand.highest_rank = wire::Rank::normal;
   provisioner_.tick(now_, {{0, true, {d}, {}}}, records_);  // GPU work that can use the type is noted
   EXPECT_TRUE(
       actions_of_type<MoveMachine>(provisioner_.tick(now_, {{0, true, {}, {spot, on_demand}}}, records_))
@@ -262,14 +264,14 @@
   records_["i-000003"].type = "gpu4";
   for (auto* m : {&busy, &busier, &gpu}) m->empty = false;
   busy.free.cpus = wire::to_millionths(6), busier.free.cpus = wire::to_millionths(3);
-  gpu.free = types_[1].total, gpu.free.gpus = wire::to_millionths(1), gpu.top_rank = wire::Rank::normal;
+  gpu.free = types_[1].total, gpu.free.gpus = wire::to_millionths(1), gpu.highest_rank = wire::Rank::normal;
   share::Demand training = demand(1, 1, true, wire::Rank::normal);
   training.need.gpus = wire::to_millionths(4), training.type_mask = 2, training.shape = wire::Shape::gang;
   const std::vector<share::MachineState> other_share_machines{busy, busier, gpu};
   for (const auto& t : types_)
     for (const auto& z : t.zones)
       for (const bool spot : {false, true})
-        provisioner_.rented({t.name == "cpu8" ? 0U : 1U, z, spot, 1, 0}, 503, {}, now_);
+        provisioner_.on_rent_result({t.name == "cpu8" ? 0U : 1U, z, spot, 1, 0}, 503, {}, now_);
   auto moves = [&](Micros now) {
     return actions_of_type<MoveMachine>(
         provisioner_.tick(now, {{0, true, {training}, other_share_machines}, {1, true, {d}, {}}}, records_));
@@ -318,7 +320,7 @@
 TEST_F(ProvisionerTest, DoesNotDeleteAReportingMachineAsBootingTooLong) {
   auto running_machine = add_machine("i-000001", 0, 0);
   running_machine.empty = false;
-  provisioner_.rented({0, "z1", false, 1, 0}, 200, {"i-000001"}, now_);
+  provisioner_.on_rent_result({0, "z1", false, 1, 0}, 200, {"i-000001"}, now_);
   EXPECT_TRUE(actions_of_type<DeleteMachines>(
                   provisioner_.tick(now_ + 300 * kSecond, {{0, true, {}, {running_machine}}}, records_))
                   .empty());
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -178,7 +178,7 @@
       controller_->on_machine_record(m, option("empty", "no") == "yes", now_);
     } else if (event == "loaded") {
       for (std::size_t i = 0; i + 1 < arguments_.size(); i += 2)
-        controller_->load_done(arguments_[i], 0, arguments_[i + 1], 7);
+        controller_->load_progress_row(arguments_[i], 0, arguments_[i + 1], 7);
       controller_->finish_loading(now_);
       append_if_rebuilt();
     } else if (event == "report") {
@@ -204,16 +204,16 @@
     } else if (event == "pushed") {
       const int status = std::stoi(arguments_.at(1));
       const auto r = parse_report(arguments_.at(0), 2);
-      controller_->pushed(arguments_.at(0), status, status ? &r : nullptr, now_);
+      controller_->on_push_result(arguments_.at(0), status, status ? &r : nullptr, now_);
       append_if_rebuilt();
     } else if (event == "where") {
       for (const auto& s : controller_->describe_attempts()) output_.push_back(s);
     } else if (event == "record") {
-      for (const auto& w : controller_->take_done_writes(10)) {
+      for (const auto& w : controller_->take_progress_writes(10)) {
         output_.push_back("write done " + w.job + " chunk " + ShareController::row_name(w.row) + " " +
                           w.text + " if version " + std::to_string(w.version));
-        controller_->on_done_write_result(w, option("ok", "yes") == "yes",
-                                          static_cast<std::uint64_t>(numeric_option("version", 8)));
+        controller_->on_progress_write_result(w, option("ok", "yes") == "yes",
+                                              static_cast<std::uint64_t>(numeric_option("version", 8)));
       }
       for (const auto& id : controller_->jobs_to_commit()) output_.push_back("complete " + id);
     } else if (event == "state") {  // the machine states as sent to the leader
@@ -276,7 +276,7 @@
           (goals.finish_by ? ", by " + std::to_string((*goals.finish_by - kStartWallClock) / kSecond) : ""));
       if (!controller_ || !graph_.is_ready(id)) continue;
       controller_->on_job_record(id, r, graph_.ready_version(id) > 100, now_, wall_clock());
-      controller_->set_priority_and_deadline(id, goals, now_, wall_clock());
+      controller_->set_scheduling_goals(id, goals, now_, wall_clock());
     }
   }
 
@@ -306,10 +306,10 @@
     } else if (event == "began") {  // the peer was restarted
       peer_first_seen_.erase(arguments_.at(0));
     } else if (event == "read") {
-      ownership_.records_read(now_);
+      ownership_.set_records_as_of(now_);
     } else if (event == "ask") {
       std::string to_take, to_hand_back;
-      for (int s : ownership_.shares_to_take(now_)) to_take += " " + std::to_string(s);
+      for (int s : ownership_.shares_to_acquire(now_)) to_take += " " + std::to_string(s);
       if (auto share = ownership_.share_to_hand_back(now_)) to_hand_back = std::to_string(*share);
       output_.push_back(std::string("lease ") + (ownership_.lease_valid(now_) ? "valid" : "not valid") +
                         ", workers " +
@@ -335,7 +335,7 @@
         heartbeat.echo_timestamp =
             static_cast<std::uint64_t>(kStartTime + from_seconds(numeric_option("echo", 0)));
       }
-      const auto heard = heartbeats_.heard(heartbeat, now_);
+      const auto heard = heartbeats_.receive(heartbeat, now_);
       if (heard.state) ownership_.peer_reported(heartbeat.node, *heard.state);
       if (heard.state) output_.push_back("said at " + format_seconds(heard.state->reported_at));
       if (heard.reply_needed) output_.push_back("answer at once");
@@ -368,7 +368,7 @@
 
   /// Outputs "rebuilt" once for each controller, when it is.
   void append_if_rebuilt() {
-    if (controller_->rebuilt() && reported_rebuilt_ != controller_.get()) {
+    if (controller_->all_accounted_for() && reported_rebuilt_ != controller_.get()) {
       reported_rebuilt_ = controller_.get();
       output_.push_back("rebuilt");
     }
