--- a/tests/engine.h
+++ b/tests/engine.h
@@ -12,18 +12,18 @@
 namespace aspenwick::testing {
 
 /// Events in the order of their times; those of a node that has crashed are left out.
-class Engine {
+class SimulationEngine {
  public:
   Micros now = 1000 * kSecond;
-  void at(Micros delay, std::function<void()> what) {
-    events_.emplace(std::pair{now + std::max<Micros>(0, delay), ++count_}, std::move(what));
+  void at(Micros delay, std::function<void()> callback) {
+    events_.emplace(std::pair{now + std::max<Micros>(0, delay), ++count_}, std::move(callback));
   }
   void run_for(Micros span) {
     const Micros until = now + span;
     while (!events_.empty() && events_.begin()->first.first <= until) {
       now = events_.begin()->first.first;
-      const auto what = std::move(events_.extract(events_.begin()).mapped());
-      what();
+      const auto callback = std::move(events_.extract(events_.begin()).mapped());
+      callback();
     }
     now = until;
   }
@@ -33,37 +33,38 @@
   std::uint64_t count_ = 0;
 };
 
-class NodeLoop : public net::Loop {
+class SimulatedLoop : public net::Loop {
  public:
-  explicit NodeLoop(Engine& engine) : engine_(engine) {}
+  explicit SimulatedLoop(SimulationEngine& engine) : engine_(engine) {}
   Micros now() const override { return engine_.now; }
   Micros time_of_day() const override { return engine_.now + 1'700'000'000 * kSecond; }
-  void later(Micros delay, std::function<void()> what) override {
-    engine_.at(delay, [this, alive = alive_, what = std::move(what)]() mutable {
+  void later(Micros delay, std::function<void()> callback) override {
+    engine_.at(delay, [this, alive = alive_, callback = std::move(callback)]() mutable {
       if (!*alive) return;
-      if (frozen() > 0) return later(frozen() + ++waited_ * kWorkedThrough, std::move(what));
-      what();
+      if (remaining_freeze() > 0)
+        return later(remaining_freeze() + ++delayed_callbacks_ * kBacklogCallbackTime, std::move(callback));
+      callback();
     });
   }
-  void every(Micros period, std::function<void()> what) override {
-    later(period, [this, period, what] {
-      every(period, what);
-      what();
+  void every(Micros period, std::function<void()> callback) override {
+    later(period, [this, period, callback] {
+      every(period, callback);
+      callback();
     });
   }
   void crash() { *alive_ = false; }
   /// All that would happen until then happens then, one thing after the other.
   void freeze(Micros span) {
     frozen_until_ = engine_.now + span;
-    waited_ = 0;
+    delayed_callbacks_ = 0;
   }
-  Micros frozen() const { return std::max<Micros>(0, frozen_until_ - engine_.now); }
+  Micros remaining_freeze() const { return std::max<Micros>(0, frozen_until_ - engine_.now); }
 
  private:
-  static constexpr Micros kWorkedThrough =
+  static constexpr Micros kBacklogCallbackTime =
       kMillisecond / 4;  // what a node takes for each thing that has waited
-  Engine& engine_;
-  Micros frozen_until_ = 0, waited_ = 0;
+  SimulationEngine& engine_;
+  Micros frozen_until_ = 0, delayed_callbacks_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- /dev/null
+++ b/tests/fault_combinations_test.cpp
@@ -0,0 +1,626 @@
+// Two troubles at once, which is when rules were seen broken: directed meetings. Pairs drawn at random are in
+// pairs_test.cpp.
+#include "simulated_users.h"
+
+namespace aspenwick::testing {
+namespace {
+
+using net::Method;
+
+struct FaultCombinationTest : NodeTest {};
+
+// A request to give a share back that got lost, unanswered: its owner neither started anything of it nor
+// answered its workers, and went on renewing its key.
+TEST_F(FaultCombinationTest, ALostHandBackLeavesNoShareWithoutAHolder) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  sim.crash("b");
+  sim.engine.run_for(15 * kSecond);
+  int lost = 0;
+  sim.drop_commit = [&](const std::string& body) {
+    return body.find("\"delete\":\"s/holder/1\"") != std::string::npos && ++lost == 1;
+  };
+  sim.start("b");
+  sim.engine.run_for(20 * kSecond);
+  ASSERT_GE(lost, 1);
+  EXPECT_EQ(sim.store.keys.at("s/holder/1").value.at("node"), "b");
+}
+
+// A move of a machine that got lost, unanswered: it was used by nobody, and never given back.
+TEST_F(FaultCombinationTest, ALostMachineMoveLeavesNoMachineWithoutAnOwner) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-1", 8)).status, 201);
+  sim.engine.run_for(20 * kSecond);
+  int lost = 0;
+  sim.drop_commit = [&](const std::string& body) {
+    return body.find("\"set\":\"s/machine/") != std::string::npos &&
+           body.find("s/holder/") != std::string::npos && ++lost == 1;
+  };
+  sim.engine.run_for(600 * kSecond);
+  EXPECT_GE(lost, 1);
+  EXPECT_TRUE(sim.machines().empty());
+}
+
+// The state service answers slowly: what it had renewed counted as not renewed, since the answer came after
+// we had given it up, and nothing was started by anybody.
+TEST_F(FaultCombinationTest, WorkStartsWhileTheStateServiceAnswersSlowly) {
+  ClusterSimulation sim;
+  sim.run_time = 5 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  for (int i = 1; i <= 10; ++i)
+    EXPECT_EQ(sim.call("b", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 4)).status, 201);
+  sim.state_service_latency = 3500 * kMillisecond;
+  sim.engine.run_for(60 * kSecond);
+  EXPECT_EQ(sim.completed.size(), 40U);
+  EXPECT_EQ(sim.store.leased_keys_removed, 0);
+}
+
+// Whatever is carried out a second time, later, changes nothing: shares taken, handed back and held on under
+// higher epochs, machines that came, moved and went, results, ends, cancellations. Left alone: rows that
+// nothing reads any more, made anew (results of a job that is over, a machine that the cloud has deleted),
+// and deletions of what is gone already.
+TEST_F(FaultCombinationTest, ATransactionRepeatedLaterChangesNothing) {
+  app::OperatorSettings settings;
+  settings.attempts_per_epoch = 30;
+  ClusterSimulation sim(settings);
+  sim.run_time = 20 * kSecond;
+  sim.run_time_spread = 20 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  auto again = [&] {
+    for (const auto& body : std::vector(sim.sent_commits)) {
+      const Json asked = Json::parse(body);
+      const auto before = sim.store.keys;
+      int status = 0;
+      sim.store.request(Method::post, "/commit", body, [&](int code, const std::string&) { status = code; });
+      if (status != 200) continue;
+      for (const auto& change : asked.at("writes")) {
+        const auto key = change.at(change.contains("delete") ? "delete" : "set").get<std::string>();
+        if (change.contains("delete")) {
+          EXPECT_FALSE(before.contains(key)) << body;
+          continue;
+        }
+        EXPECT_FALSE(before.contains(key)) << body;
+        if (key.starts_with("p/")) {
+          const auto job = key.substr(key.find('/', 2) + 1);
+          EXPECT_NE(before.at("s/job/" + job.substr(0, job.find('/'))).value.at("st"), "queued") << body;
+        } else {
+          ASSERT_TRUE(key.starts_with("s/machine/")) << body;
+          const auto there = sim.machines();
+          EXPECT_EQ(std::count(there.begin(), there.end(), key.substr(10)), 0) << body;
+        }
+      }
+    }
+  };
+  int jobs = 0;
+  for (const char* owner : {"cards", "red", "cards", "tight"}) {
+    for (int i = 0; i < 3; ++i) {
+      auto j = job("j-" + std::to_string(++jobs), 12);
+      j["owner"] = owner;
+      EXPECT_EQ(sim.call("c", Method::post, "/v1/jobs", j).status, 201);
+    }
+    sim.engine.run_for(25 * kSecond);
+    EXPECT_EQ(sim.call("c", Method::post, "/v1/jobs/j-" + std::to_string(jobs) + "/withdraw").status, 200);
+    sim.engine.run_for(2 * kSecond);
+    again();
+    const std::string node = jobs % 2 == 0 ? "a" : "b";
+    sim.crash(node);
+    sim.engine.run_for(12 * kSecond);
+    sim.start(node);
+    sim.engine.run_for(15 * kSecond);
+    again();
+  }
+  EXPECT_GT(sim.sent_commits.size(), 100U);
+  for (int i = 1; i <= jobs; ++i) {
+    const std::string id = "j-" + std::to_string(i);
+    for (int s = 0;
+         s < 200 && sim.call("b", Method::get, "/v1/jobs/" + id).body.value("status", "") == "queued"; ++s)
+      sim.engine.run_for(kSecond);
+  }
+  EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
+}
+
+// A leader cut off from the state service and the other controllers, not from its workers and users: jobs are
+// cancelled through the one that takes over.
+TEST_F(FaultCombinationTest, ALeaderCutOffWithItsWorkersStopsJobsCancelledElsewhere) {
+  ClusterSimulation sim;
+  sim.run_time = 3600 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  for (const char* owner : {"cards", "red"}) {
+    auto j = job(owner == std::string("red") ? "j-2" : "j-1", 8);
+    j["owner"] = owner;
+    EXPECT_EQ(sim.call("b", Method::post, "/v1/jobs", j).status, 201);
+  }
+  sim.engine.run_for(20 * kSecond);
+  sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {"a"};
+  sim.engine.run_for(kSecond);
+  // Its user comes again until the owner's time to start tasks without knowing has passed.
+  for (int i = 0; i < 10 && !sim.cancelled.contains("j-1"); ++i) {
+    if (sim.call("c", Method::post, "/v1/jobs/j-1/withdraw").status == 200)
+      sim.cancelled.emplace("j-1", sim.engine.now);
+    else
+      sim.engine.run_for(kSecond);
+  }
+  ASSERT_TRUE(sim.cancelled.contains("j-1"));
+  // The cut-off one says nothing older than what another has told.
+  for (int i = 0; i < 60; ++i) {
+    const auto told = sim.call("a", Method::get, "/v1/jobs/j-1");
+    if (told.status == 200) {
+      EXPECT_EQ(told.body.at("status"), "withdrawn");
+    }
+    sim.engine.run_for(kSecond);
+  }
+  sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
+  sim.engine.run_for(30 * kSecond);
+  EXPECT_EQ(sim.ran_after_cancellation, "");
+  EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
+}
+
+// ---------------------------------------------------------------- the users' further meetings
+
+/// A world whose users judge all that they are told, and what is to hold in the end.
+struct FaultCombinationWithUsersTest : FaultCombinationTest {
+  /// Some of each team, at the nodes in turn; the times between are theirs.
+  static void submit_jobs(ClusterSimulation& sim, SimulatedUsers& users, int jobs, int tasks, int from = 1) {
+    static const std::vector<std::string> kOwners{"red", "tight", "cards"};
+    for (int i = from; i < from + jobs; ++i) {
+      auto j = job("j-" + std::to_string(i), tasks);
+      j["owner"] = kOwners[static_cast<std::size_t>(i) % 3];
+      if (i % 3 == 2) j["cards"] = 1.0;
+      users.submit(j);
+      sim.engine.run_for(100 * kMillisecond);
+    }
+  }
+  static void expect_invariants(const ClusterSimulation& sim) {
+    EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
+    EXPECT_EQ(sim.ran_after_cancellation, "");
+    EXPECT_EQ(sim.placement_violation, "");
+  }
+  static void finish_and_check(ClusterSimulation& sim, SimulatedUsers& users) {
+    sim.run_time = 2 * kSecond;
+    users.recheck_rate = 0, users.cancel_on_completion_rate = 0;
+    users.expect_all_jobs_end();
+    expect_invariants(sim);
+  }
+  static std::string leader(const ClusterSimulation& sim) {
+    const auto key = sim.store.keys.find("s/leader");
+    return key == sim.store.keys.end() ? "" : key->second.value.at("node").get<std::string>();
+  }
+};
+
+// Whoever was told that a job is accepted, done or cancelled asks at every node within milliseconds, repeats
+// the submission, and sometimes cancels: slow answers of the state service, some lost, one node behind its
+// watch.
+TEST_F(FaultCombinationWithUsersTest, ImmediateRechecksReturnNoOlderState) {
+  for (unsigned seed = 1; seed <= 12; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    ClusterSimulation sim;
+    sim.random.seed(seed);
+    SimulatedUsers users(sim);
+    users.recheck_rate = 1;
+    sim.run_time = kSecond, sim.run_time_spread = 5 * kSecond;
+    if (seed % 4 == 1) sim.nodes_with_stalled_watches = {kNodeNames[seed % 3]};
+    if (seed % 4 == 2) sim.state_service_latency = 60 * kMillisecond;
+    if (seed % 4 == 3) sim.state_response_loss_rate = 0.1;
+    sim.engine.run_for(15 * kSecond);
+    for (int s = 0; s < 60; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+    sim.nodes_with_stalled_watches.clear(), sim.state_service_latency = 0, sim.state_response_loss_rate = 0;
+    finish_and_check(sim, users);
+  }
+}
+
+// A transaction is executed at once and only its answer is lost, each kind in turn, while the others read
+// what it wrote and users ask everywhere: what its author believes until it learns the truth must do no harm.
+TEST_F(FaultCombinationWithUsersTest, ALostCommitResponseBreaksNoInvariant) {
+  const std::vector<std::pair<const char*, std::string>> kinds{{"accept", R"("guards":[{"path":"s/job/)"},
+                                                               {"cancel", R"("st":"withdrawn")"},
+                                                               {"done", R"("st":"done")"},
+                                                               {"done-set", R"("set":"p/)"},
+                                                               {"holder key", R"("set":"s/holder/)"},
+                                                               {"epoch", R"("set":"s/token/)"},
+                                                               {"hand-back", R"("delete":"s/holder/)"},
+                                                               {"join", R"("set":"s/machine/)"},
+                                                               {"forget", R"("delete":"s/machine/)"},
+                                                               {"types", R"("set":"s/types)"},
+                                                               {"leader", R"("set":"s/leader")"},
+                                                               {"formats", R"("set":"s/node/)"}};
+  for (const auto& [name, text] : kinds) {
+    SCOPED_TRACE(name);
+    app::OperatorSettings settings;
+    settings.attempts_per_epoch = 15;
+    ClusterSimulation sim(settings);
+    SimulatedUsers users(sim);
+    users.recheck_rate = 0.3;
+    int lost = 0;
+    sim.drop_commit_response = [&, part = text](const std::string& body) {
+      return body.find(part) != std::string::npos && (lost == 0 || sim.random() % 3 != 0) && ++lost > 0;
+    };
+    sim.push_loss_rate = 0.2;
+    sim.run_time_spread = 20 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    submit_jobs(sim, users, 9, 4);
+    for (int s = 0; s < 25; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+    const auto first = leader(sim);
+    sim.crash(first.empty() ? "b" : first);
+    for (int s = 0; s < 12; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+    for (const auto& n : kNodeNames)
+      if (!sim.is_running(n)) sim.start(n);
+    for (int s = 0; s < 40; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+    finish_and_check(sim, users);
+    sim.engine.run_for(300 * kSecond);
+    EXPECT_GT(lost, 0);
+    sim.drop_commit_response = [](const std::string&) { return false; };
+    sim.engine.run_for(200 * kSecond);
+    EXPECT_TRUE(sim.machines().empty());  // nobody is left to nobody
+  }
+}
+
+// Every team is at its limit; jobs are cancelled whose machines hang or reach nobody; the leader changes. The
+// room of a cancelled task is free only when it surely ended, for the successor too; then all of it is used.
+TEST_F(FaultCombinationWithUsersTest, TeamLimitsHoldWhileCancelledTasksMayStillRunAndTheLeaderChanges) {
+  for (int variant = 0; variant < 8; ++variant) {
+    SCOPED_TRACE(variant);
+    ClusterSimulation sim;
+    SimulatedUsers users(sim);
+    sim.push_loss_rate = variant & 1 ? 0.3 : 0;
+    sim.run_time = 150 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    submit_jobs(sim, users, 9, 6);
+    sim.engine.run_for(40 * kSecond);
+    const std::vector<std::string> cancelled{"j-1", "j-2"};  // the first of "tight" and of "cards"
+    for (const auto& id : cancelled) {
+      EXPECT_FALSE(sim.machines_running(id).empty()) << id;
+      for (const auto& m : sim.machines_running(id))
+        if (variant & 2)
+          sim.block_reports_of(m, 40 * kSecond);
+        else
+          sim.hang(m, 10 * kSecond);
+    }
+    const auto first = leader(sim);
+    if (variant & 4) sim.crash(first);
+    for (const auto& id : cancelled) users.cancel(id);
+    sim.engine.run_for(300 * kMillisecond);
+    if (!(variant & 4)) sim.crash(first);
+    sim.engine.run_for(10 * kSecond);
+    sim.start(first);
+    sim.engine.run_for(60 * kSecond);
+    finish_and_check(sim, users);
+  }
+}
+
+// Cancellations at every moment of a share's change of hands: its owner ends, another takes it, it goes
+// home.
+TEST_F(FaultCombinationWithUsersTest, CancellationsDuringAShareHandoverBreakNoInvariant) {
+  for (Micros at = 0; at <= 24 * kSecond; at += 800 * kMillisecond) {
+    SCOPED_TRACE(to_seconds(at));
+    ClusterSimulation sim;
+    SimulatedUsers users(sim);
+    sim.push_loss_rate = 0.1;
+    sim.run_time = 90 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    submit_jobs(sim, users, 9, 4);
+    sim.engine.run_for(20 * kSecond);
+    sim.engine.at(8 * kSecond, [&] { sim.start("b"); });
+    sim.engine.at(at, [&] {
+      for (int i = 1; i <= 9; i += 2) {
+        const std::string id = "j-" + std::to_string(i);
+        for (const auto& n : kNodeNames) users.cancel(id, n);  // at all that are up, at once
+      }
+    });
+    sim.crash("b");
+    sim.engine.run_for(30 * kSecond);
+    for (int i = 1; i <= 9; i += 2) users.cancel("j-" + std::to_string(i));
+    sim.engine.run_for(60 * kSecond);
+    finish_and_check(sim, users);
+  }
+}
+
+// Machines are up in a second or two and get work at once, changes are executed seconds late, the leader
+// ends.
+TEST_F(FaultCombinationWithUsersTest, FastMachineStartsWithDelayedCommitsAndALeaderCrashBreakNoInvariant) {
+  for (unsigned seed = 1; seed <= 10; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    ClusterSimulation sim;
+    sim.random.seed(seed);
+    SimulatedUsers users(sim);
+    sim.boot_time = kSecond, sim.run_time_spread = 30 * kSecond;
+    sim.push_loss_rate = seed % 2 == 0 ? 0 : 0.3;
+    sim.engine.run_for(20 * kSecond);
+    sim.commit_delay_rate = 0.5, sim.commit_delay_range = {2 * kSecond, 12 * kSecond};
+    submit_jobs(sim, users, 6, 8);
+    sim.engine.run_for(static_cast<Micros>(seed) * 700 * kMillisecond);
+    const auto first = leader(sim);
+    if (!first.empty()) sim.crash(first);
+    sim.engine.run_for(7 * kSecond);
+    for (const auto& n : kNodeNames)
+      if (!sim.is_running(n)) sim.start(n);
+    sim.engine.run_for(30 * kSecond);
+    sim.commit_delay_rate = 0;
+    finish_and_check(sim, users);
+    sim.engine.run_for(300 * kSecond);
+    EXPECT_TRUE(sim.machines().empty());
+  }
+}
+
+// Old reports reach every controller just as a new leader begins; its predecessor may live on, cut off.
+TEST_F(FaultCombinationWithUsersTest, OldReportsReplayedToANewLeaderBreakNoInvariant) {
+  for (unsigned seed = 1; seed <= 16; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    ClusterSimulation sim;
+    sim.random.seed(seed);
+    SimulatedUsers users(sim);
+    sim.push_loss_rate = seed % 2 == 0 ? 0 : 0.5;
+    sim.run_time = 40 * kSecond, sim.run_time_spread = 40 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    submit_jobs(sim, users, 9, 6);
+    sim.engine.run_for(25 * kSecond);
+    const auto first = leader(sim);
+    ASSERT_FALSE(first.empty());
+    sim.report_replay_rate = 1;
+    if (seed % 4 < 2) {
+      for (const auto& m : sim.machines()) sim.only_reachable_node[m] = first;
+      sim.engine.run_for(3 * kSecond);
+      sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {first};
+      sim.engine.run_for(25 * kSecond);
+      sim.only_reachable_node.clear();
+      sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
+    } else {
+      sim.engine.run_for(3 * kSecond);
+      sim.crash(first);
+      sim.engine.run_for(static_cast<Micros>(seed) * 400 * kMillisecond);
+      sim.start(first);
+    }
+    sim.engine.run_for(20 * kSecond);
+    sim.report_replay_rate = 0;
+    finish_and_check(sim, users);
+  }
+}
+
+// One-task jobs, four a second for two minutes, a quarter of them cancelled; other work isn't starved.
+TEST_F(FaultCombinationWithUsersTest, ManySmallJobsWithCancellationsStarveNoOtherJob) {
+  ClusterSimulation sim;
+  SimulatedUsers users(sim);
+  sim.push_loss_rate = 0;
+  sim.run_time = 2 * kSecond, sim.run_time_spread = 4 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  for (int i = 1; i <= 480; ++i) {
+    const std::string id = "j-" + std::to_string(i);
+    auto j = job(id, 1);
+    j["vcpus"] = 0.5, j["ramGb"] = 0.5;
+    j["owner"] = i % 2 ? "red" : "tight";
+    users.submit(j);
+    if (i % 4 == 0)
+      sim.engine.at(static_cast<Micros>(sim.random() % 5000) * kMillisecond,
+                    [&users, id] { users.cancel(id); });
+    sim.engine.run_for(250 * kMillisecond);
+    if (i == 240) {
+      auto other = job("j-900", 6);
+      other["owner"] = "cards";
+      users.submit(other);
+    }
+  }
+  sim.engine.run_for(30 * kSecond);
+  for (int i = 0; i < 6; ++i) EXPECT_TRUE(sim.completed.contains("j-900/" + std::to_string(i))) << i;
+  int over = 0;
+  for (int i = 1; i <= 480; ++i) {
+    const std::string id = "j-" + std::to_string(i);
+    over += sim.completed.contains(id + "/0") || sim.cancelled.contains(id);
+  }
+  EXPECT_EQ(over, 480);
+  finish_and_check(sim, users);
+}
+
+// A cancellation, a question or a repeated submission meets the end of the last task, with no other trouble.
+TEST_F(FaultCombinationWithUsersTest, CancellationsAsTheLastTaskEndsBreakNoInvariant) {
+  for (unsigned seed = 1; seed <= 6; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    ClusterSimulation sim;
+    sim.random.seed(seed);
+    SimulatedUsers users(sim);
+    users.cancel_on_completion_rate = 0.7, users.recheck_rate = 0.5;
+    sim.push_loss_rate = seed % 2 == 0 ? 0 : 1;
+    sim.run_time_spread = 8 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    for (int s = 0; s < 80; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+    finish_and_check(sim, users);
+  }
+}
+
+// A zone with machines and a controller is cut off for longer than a worker's lease, and jobs are cancelled.
+TEST_F(FaultCombinationWithUsersTest, AZonePartitionLongerThanAWorkerLeaseBreaksNoInvariant) {
+  for (const auto& node : kNodeNames)
+    for (const Micros span : {14 * kSecond, 45 * kSecond}) {
+      SCOPED_TRACE(node + " for " + std::to_string(to_seconds(span)));
+      ClusterSimulation sim;
+      SimulatedUsers users(sim);
+      sim.push_loss_rate = 0;
+      sim.run_time = 60 * kSecond, sim.run_time_spread = 30 * kSecond;
+      sim.engine.run_for(20 * kSecond);
+      submit_jobs(sim, users, 9, 5);
+      sim.engine.run_for(20 * kSecond);
+      sim.isolate_zone("z1", node);
+      sim.engine.run_for(2 * kSecond);
+      for (const auto& n : kNodeNames)
+        if (n != node) users.cancel("j-3", n), users.cancel("j-4", n), users.cancel("j-5", n);
+      sim.engine.run_for(span);
+      sim.reconnect_zone();
+      sim.engine.run_for(30 * kSecond);
+      finish_and_check(sim, users);
+    }
+}
+
+// All controllers are away for longer than a worker's lease, with jobs just accepted and just cancelled.
+TEST_F(FaultCombinationWithUsersTest, AllControllersDownLongerThanAWorkerLeaseBreaksNoInvariant) {
+  ClusterSimulation sim;
+  SimulatedUsers users(sim);
+  sim.run_time = 60 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  submit_jobs(sim, users, 6, 4);
+  sim.engine.run_for(20 * kSecond);
+  users.cancel("j-1", "a"), users.cancel("j-2", "b");
+  submit_jobs(sim, users, 3, 4, 7);
+  for (const auto& n : kNodeNames) sim.crash(n);
+  sim.engine.run_for(sim.worker_lease() + 5 * kSecond);
+  for (const auto& n : kNodeNames) sim.start(n);
+  sim.engine.run_for(30 * kSecond);
+  finish_and_check(sim, users);
+}
+
+// Jobs bound to one zone, arrays and gangs, lose machines.
+TEST_F(FaultCombinationWithUsersTest, JobsBoundToOneZoneSurviveLostMachines) {
+  for (unsigned seed = 1; seed <= 6; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    ClusterSimulation sim;
+    sim.random.seed(seed);
+    SimulatedUsers users(sim);
+    sim.push_loss_rate = seed % 2 == 0 ? 0 : 0.3;
+    sim.run_time = 40 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    for (int i = 1; i <= 6; ++i) {
+      auto j = job("j-" + std::to_string(i), i % 2 == 0 ? 4 : 9);
+      if (i % 2 == 0) j["shape"] = "group";
+      if (i % 3 == 0) j["site"] = "z2";
+      j["together"] = true;
+      users.submit(j);
+    }
+    sim.engine.run_for(25 * kSecond);
+    for (int i = 0; i < 3; ++i) sim.lose_random_machine(), sim.engine.run_for(7 * kSecond);
+    sim.engine.run_for(30 * kSecond);
+    finish_and_check(sim, users);
+  }
+}
+
+// Workers reach no controller, commands reach them; cancelled meanwhile.
+TEST_F(FaultCombinationWithUsersTest, CancellationsWhileReportsAreLostBreakNoInvariant) {
+  for (const Micros span : {8 * kSecond, 20 * kSecond, 60 * kSecond}) {
+    SCOPED_TRACE(to_seconds(span));
+    ClusterSimulation sim;
+    SimulatedUsers users(sim);
+    sim.push_loss_rate = 0;
+    sim.run_time = 50 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    submit_jobs(sim, users, 9, 4);
+    sim.engine.run_for(20 * kSecond);
+    for (const auto& m : sim.machines()) sim.block_reports_of(m, span);
+    users.cancel("j-1"), users.cancel("j-2"), users.cancel("j-3");
+    sim.engine.run_for(span / 2);
+    sim.crash(leader(sim));
+    sim.engine.run_for(span);
+    for (const auto& n : kNodeNames)
+      if (!sim.is_running(n)) sim.start(n);
+    sim.engine.run_for(30 * kSecond);
+    finish_and_check(sim, users);
+  }
+}
+
+// The leader changes ten times in two minutes; in the second half of them the state service is away for a
+// while.
+TEST_F(FaultCombinationWithUsersTest, TenLeaderChangesInTwoMinutesBreakNoInvariant) {
+  for (const bool outage : {false, true}) {
+    SCOPED_TRACE(outage);
+    ClusterSimulation sim;
+    SimulatedUsers users(sim);
+    sim.push_loss_rate = 0.1;
+    sim.run_time = 20 * kSecond, sim.run_time_spread = 40 * kSecond;
+    sim.engine.run_for(20 * kSecond);
+    submit_jobs(sim, users, 9, 5);
+    sim.engine.run_for(10 * kSecond);
+    std::set<std::string> led;
+    for (int change = 0; change < 10; ++change) {
+      sim.state_service_down = outage && change % 5 == 3;
+      const auto now = leader(sim);
+      if (!now.empty() && sim.is_running(now)) sim.crash(now);
+      for (int s = 0; s < 6; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+      sim.state_service_down = false;
+      for (const auto& n : kNodeNames)
+        if (!sim.is_running(n)) sim.start(n);
+      for (int s = 0; s < 6; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
+      led.insert(leader(sim));
+    }
+    EXPECT_GT(led.size(), 1U);
+    finish_and_check(sim, users);
+  }
+}
+
+// A cancelled task's machine hangs, before or after the user is told, and goes on within its lease.
+TEST_F(FaultCombinationWithUsersTest, ACancelledTaskOnAHungMachineStopsWithinTheCancellationTime) {
+  for (const Micros hang : {4 * kSecond, 9 * kSecond, 11 * kSecond, 30 * kSecond})
+    for (const bool before : {true, false})
+      for (const bool leader_crashes : {true, false}) {
+        SCOPED_TRACE(to_seconds(hang));
+        ClusterSimulation sim;
+        SimulatedUsers users(sim);
+        sim.push_loss_rate = 0;
+        sim.run_time = 150 * kSecond;
+        sim.engine.run_for(20 * kSecond);
+        submit_jobs(sim, users, 6, 4);
+        sim.engine.run_for(30 * kSecond);
+        const auto on = sim.machines_running("j-1");
+        ASSERT_FALSE(on.empty());
+        auto stop = [&] {
+          for (const auto& m : on) sim.hang(m, hang);
+        };
+        if (before) stop(), sim.engine.run_for(kSecond);
+        users.cancel("j-1");
+        if (!before) stop();
+        sim.engine.run_for(500 * kMillisecond);
+        const auto first = leader(sim);
+        if (leader_crashes) sim.crash(first);
+        sim.engine.run_for(15 * kSecond);
+        if (leader_crashes) sim.start(first);
+        sim.engine.run_for(60 * kSecond);
+        EXPECT_TRUE(sim.machines_running("j-1").empty());
+        finish_and_check(sim, users);
+      }
+}
+
+// More work than room, urgent and not, over a slow state service and lost pushes; some is cancelled.
+TEST_F(FaultCombinationWithUsersTest, OverloadWithSlowStateServiceAndLostPushesBreaksNoInvariant) {
+  ClusterSimulation sim;
+  sim.max_machines = 6;
+  SimulatedUsers users(sim);
+  sim.push_loss_rate = 0.3, sim.report_loss_rate = 0.2, sim.state_service_latency = 800 * kMillisecond;
+  sim.run_time = 5 * kSecond, sim.run_time_spread = 10 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  static const char* const kRanks[] = {"low", "high", "normal", "production"};
+  for (int i = 1; i <= 16; ++i) {
+    auto j = job("j-" + std::to_string(i), 6);
+    j["rank"] = kRanks[i % 4];
+    j["owner"] = i % 3 ? "red" : "cards";
+    users.submit(j);
+    sim.engine.run_for(kSecond);
+  }
+  for (int i = 3; i <= 16; i += 4) users.cancel("j-" + std::to_string(i));
+  sim.engine.run_for(60 * kSecond);
+  sim.state_service_latency = 0, sim.report_loss_rate = 0;
+  finish_and_check(sim, users);
+}
+
+// What users saw: tasks of a job started for up to 5 s after its cancellation had been confirmed. The order
+// of events: the owner of its share is cut off from the state service and its peers; another node commits the
+// cancellation and tells the user; the owner goes on starting what waits until its lease ends. The cause: the
+// node that confirmed knew that it had committed, not that the owner had stopped. The evidence: each late
+// start was the cut-off owner's.
+TEST_F(FaultCombinationWithUsersTest, NoTaskStartsAfterTheCancellationIsConfirmed) {
+  ClusterSimulation sim;
+  SimulatedUsers users(sim);
+  sim.push_loss_rate = 0, sim.max_machines = 4;
+  sim.run_time = kSecond;
+  sim.engine.run_for(20 * kSecond);
+  auto j = job("j-1", 600);
+  j["owner"] = "cards";
+  users.submit(j);
+  sim.engine.run_for(30 * kSecond);
+  ASSERT_EQ(sim.store.keys.at("s/holder/0").value.at("node"), "a");
+  ASSERT_FALSE(sim.machines_running("j-1").empty());
+  sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {"a"};
+  sim.engine.run_for(200 * kMillisecond);
+  users.cancel("j-1", "b");
+  sim.engine.run_for(20 * kSecond);
+  ASSERT_TRUE(sim.cancelled.contains("j-1"));
+  EXPECT_EQ(sim.latest_start_after_cancellation, 0) << sim.latest_cancelled_start;
+  expect_invariants(sim);
+}
+
+}  // namespace
+}  // namespace aspenwick::testing
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "small_world.h"
+#include "cluster_simulation.h"
 
 namespace aspenwick::testing {
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -13,332 +13,346 @@
 using net::Method;
 
 /// Until `node` says that the job is done; false if it doesn't in five minutes.
-bool done_in_time(SmallWorld& w, const std::string& node, const std::string& id) {
+bool done_in_time(ClusterSimulation& sim, const std::string& node, const std::string& id) {
   for (int i = 0; i < 300; ++i) {
-    if (w.ask(node, Method::get, "/v1/jobs/" + id).body.value("status", "") == "done") return true;
-    w.engine.run_for(kSecond);
+    if (sim.call(node, Method::get, "/v1/jobs/" + id).body.value("status", "") == "done") return true;
+    sim.engine.run_for(kSecond);
   }
   return false;
 }
 
-TEST_F(NodeTest, AJobIsServedByWhicheverNodeItCameTo) {
-  SmallWorld w;
-  w.engine.run_for(20 * kSecond);
-  for (const char* n : {"a", "b", "c"}) EXPECT_EQ(w.ask(n, Method::get, "/ready").status, 200);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", job("j-000001", 20)).status, 201);
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", job("j-000001", 20)).status, 200);  // a retry elsewhere
-  EXPECT_TRUE(done_in_time(w, "c", "j-000001"));
-  EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-000001").body.at("status"), "done");
-  EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-000002").status, 404);
-  EXPECT_EQ(w.starts.size(), 20U);
-  EXPECT_EQ(w.ran_twice, 0);
+TEST_F(NodeTest, AJobIsServedByAnyNode) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  for (const char* n : {"a", "b", "c"}) EXPECT_EQ(sim.call(n, Method::get, "/ready").status, 200);
+  EXPECT_EQ(sim.call("b", Method::post, "/v1/jobs", job("j-000001", 20)).status, 201);
+  EXPECT_EQ(sim.call("c", Method::post, "/v1/jobs", job("j-000001", 20)).status, 200);  // a retry elsewhere
+  EXPECT_TRUE(done_in_time(sim, "c", "j-000001"));
+  EXPECT_EQ(sim.call("a", Method::get, "/v1/jobs/j-000001").body.at("status"), "done");
+  EXPECT_EQ(sim.call("a", Method::get, "/v1/jobs/j-000002").status, 404);
+  EXPECT_EQ(sim.starts.size(), 20U);
+  EXPECT_EQ(sim.concurrent_runs, 0);
 }
 
-TEST_F(NodeTest, AShareWithoutItsNodeGoesOnElsewhere) {
-  SmallWorld w;
-  w.engine.run_for(20 * kSecond);
+TEST_F(NodeTest, AShareIsTakenOverWhenItsNodeCrashes) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 6; ++i)
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 12)).status, 201);
-  w.engine.run_for(15 * kSecond);  // machines have come, tasks run
-  EXPECT_FALSE(w.starts.empty());
-  w.crash("a");
-  w.engine.run_for(4 * kSecond);
-  w.crash("b");
-  w.engine.run_for(10 * kSecond);
-  w.start("a");
-  for (int i = 1; i <= 6; ++i) EXPECT_TRUE(done_in_time(w, "c", "j-" + std::to_string(i)));
-  EXPECT_EQ(w.starts.size(), 72U);
-  EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 12)).status, 201);
+  sim.engine.run_for(15 * kSecond);  // machines have come, tasks run
+  EXPECT_FALSE(sim.starts.empty());
+  sim.crash("a");
+  sim.engine.run_for(4 * kSecond);
+  sim.crash("b");
+  sim.engine.run_for(10 * kSecond);
+  sim.start("a");
+  for (int i = 1; i <= 6; ++i) EXPECT_TRUE(done_in_time(sim, "c", "j-" + std::to_string(i)));
+  EXPECT_EQ(sim.starts.size(), 72U);
+  EXPECT_EQ(sim.concurrent_runs, 0);
 }
 
-TEST_F(NodeTest, AWithdrawnJobIsWithdrawnForEveryNodeAtOnce) {
-  SmallWorld w;
-  w.run_time = 600 * kSecond;
-  w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-7", 4)).status, 201);
-  w.engine.run_for(15 * kSecond);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs/j-7/withdraw").body.at("status"), "withdrawn");
+TEST_F(NodeTest, AWithdrawnJobIsReportedAsWithdrawnByEveryNodeAtOnce) {
+  ClusterSimulation sim;
+  sim.run_time = 600 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-7", 4)).status, 201);
+  sim.engine.run_for(15 * kSecond);
+  EXPECT_EQ(sim.call("b", Method::post, "/v1/jobs/j-7/withdraw").body.at("status"), "withdrawn");
   for (const char* n : {"a", "b", "c"})
-    EXPECT_EQ(w.ask(n, Method::get, "/v1/jobs/j-7").body.at("status"), "withdrawn");
+    EXPECT_EQ(sim.call(n, Method::get, "/v1/jobs/j-7").body.at("status"), "withdrawn");
 }
 
 // The world loses all that nodes push to workers, as where only workers can reach nodes: pushed first and
 // fenced each time, tasks went from machine to machine and never started.
-TEST_F(NodeTest, WorkStartsByReportsWherePushesNeverArrive) {
-  SmallWorld w;
-  w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 60)).status, 201);
-  EXPECT_TRUE(done_in_time(w, "a", "j-1"));
+TEST_F(NodeTest, TasksStartThroughReportsWhenPushesNeverArrive) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-1", 60)).status, 201);
+  EXPECT_TRUE(done_in_time(sim, "a", "j-1"));
   for (int i = 2; i <= 12; ++i) {  // one task at a time, on machines that are there
     const std::string id = "j-" + std::to_string(i);
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
-    EXPECT_TRUE(done_in_time(w, "a", id)) << id;
+    EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
+    EXPECT_TRUE(done_in_time(sim, "a", id)) << id;
   }
-  EXPECT_EQ(w.ran_twice, 0);
+  EXPECT_EQ(sim.concurrent_runs, 0);
 }
 
 // A share's numbers of attempts end after a million: it goes on under a higher epoch without a takeover.
-TEST_F(NodeTest, AShareGoesOnUnderAHigherEpochWithoutATakeover) {
+TEST_F(NodeTest, AShareRaisesItsEpochWithoutATakeover) {
   app::OperatorSettings settings;
   settings.attempts_per_epoch = 10;
-  SmallWorld w(settings);
-  w.engine.run_for(20 * kSecond);
+  ClusterSimulation sim(settings);
+  sim.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 5; ++i)
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 15)).status, 201);
-  for (int i = 1; i <= 5; ++i) EXPECT_TRUE(done_in_time(w, "b", "j-" + std::to_string(i)));
-  EXPECT_EQ(w.store.held_keys_removed, 0);  // no share was ever without an owner
-  EXPECT_EQ(w.starts.size(), 75U);
-  for (const auto& [task, n] : w.starts) EXPECT_EQ(n, 1) << task;
-  EXPECT_EQ(w.attempts.size(), 75U);  // each number once
+    EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 15)).status, 201);
+  for (int i = 1; i <= 5; ++i) EXPECT_TRUE(done_in_time(sim, "b", "j-" + std::to_string(i)));
+  EXPECT_EQ(sim.store.leased_keys_removed, 0);  // no share was ever without an owner
+  EXPECT_EQ(sim.starts.size(), 75U);
+  for (const auto& [task, n] : sim.starts) EXPECT_EQ(n, 1) << task;
+  EXPECT_EQ(sim.attempts.size(), 75U);  // each number once
   std::set<std::uint64_t> epochs;
-  for (const auto a : w.attempts) epochs.insert(a >> place::kEpochShift);
+  for (const auto a : sim.attempts) epochs.insert(a >> place::kEpochShift);
   EXPECT_GT(epochs.size(), 2U);
 }
 
 /// Between random troubles. `quick`: a process that ends is back within 0.3 s, often several times in a row;
 /// what it had sent is held or executed late. `copies`: those too, with machines that hear nothing, late
 /// copies of whatever was sent, and nodes cut off from all but their workers.
-enum class Back { later, quick, copies };
+enum class FaultProfile { slow_restarts, fast_restarts, duplicate_messages };
 
 /// All troubles are over: whichever node is asked about whichever accepted job, within 75 s it answers.
-void expect_known(SmallWorld& w, const std::set<std::string>& accepted) {
+void expect_answered_by_all_nodes(ClusterSimulation& sim, const std::set<std::string>& accepted) {
   std::set<std::pair<std::string, std::string>> open;
   for (const char* n : {"a", "b", "c"})
     for (const auto& id : accepted) open.emplace(n, id);
-  const Micros until = w.engine.now + 75 * kSecond;
-  while (!open.empty() && w.engine.now < until) {
+  const Micros until = sim.engine.now + 75 * kSecond;
+  while (!open.empty() && sim.engine.now < until) {
     std::erase_if(open, [&](const auto& o) {
-      return w.ask(o.first, Method::get, "/v1/jobs/" + o.second).status == 200;
+      return sim.call(o.first, Method::get, "/v1/jobs/" + o.second).status == 200;
     });
-    w.engine.run_for(kSecond);
+    sim.engine.run_for(kSecond);
   }
   for (const auto& [node, id] : open) ADD_FAILURE() << id << " isn't known to " << node;
 }
 
 /// Troubles of all kinds at random times, together too. What users were told once stays true, no task runs at
 /// two places, and in the end all jobs are done.
-void play_troubles(unsigned seed, Back back = Back::later) {
+void run_random_faults(unsigned seed, FaultProfile profile = FaultProfile::slow_restarts) {
   SCOPED_TRACE("seed " + std::to_string(seed));
   app::OperatorSettings settings;
   // Epochs that are raised often refuse copies of old orders by themselves.
-  settings.attempts_per_epoch = back == Back::copies && seed % 2 == 0 ? 4000 : 40;
-  SmallWorld w(settings);
-  w.random.seed(seed);
-  auto chance = [&](double part) { return std::uniform_real_distribution<>(0, 1)(w.random) < part; };
-  auto some = [&](std::initializer_list<double> of) { return of.begin()[w.random() % of.size()]; };
-  w.push_lost = some({0, 0.05, 0.3, 1});
-  w.push_late = some({0, 0, 0.1});
-  w.answer_lost = some({0, 0, 0.02});
-  w.report_lost = some({0, 0.02, 0.2});
-  w.run_time = from_seconds(some({1, 4, 15}));
-  const bool copies = back == Back::copies, quick = back == Back::quick || (copies && chance(0.5));
-  if (copies) w.report_copied = some({0.05, 0.3}), w.push_copied = some({0.1, 1});
-  if (copies) w.commit_copied = some({0, 0.1, 0.5}), w.task_fails = some({0, 0.02, 0.1});
-  if (quick) w.commit_late = some({0, 0.02, 0.1});
-  w.engine.run_for(15 * kSecond);
-  static const std::vector<std::string> kNodes{"a", "b", "c"};
-  std::map<std::string, std::string> final_told;  // by job
+  settings.attempts_per_epoch = profile == FaultProfile::duplicate_messages && seed % 2 == 0 ? 4000 : 40;
+  ClusterSimulation sim(settings);
+  sim.random.seed(seed);
+  auto with_probability = [&](double probability) {
+    return std::uniform_real_distribution<>(0, 1)(sim.random) < probability;
+  };
+  auto pick = [&](std::initializer_list<double> of) { return of.begin()[sim.random() % of.size()]; };
+  sim.push_loss_rate = pick({0, 0.05, 0.3, 1});
+  sim.push_delay_rate = pick({0, 0, 0.1});
+  sim.state_response_loss_rate = pick({0, 0, 0.02});
+  sim.report_loss_rate = pick({0, 0.02, 0.2});
+  sim.run_time = from_seconds(pick({1, 4, 15}));
+  const bool duplicate_messages = profile == FaultProfile::duplicate_messages,
+             fast_restarts =
+                 profile == FaultProfile::fast_restarts || (duplicate_messages && with_probability(0.5));
+  if (duplicate_messages)
+    sim.report_duplicate_rate = pick({0.05, 0.3}), sim.push_duplicate_rate = pick({0.1, 1});
+  if (duplicate_messages)
+    sim.commit_duplicate_rate = pick({0, 0.1, 0.5}), sim.task_failure_rate = pick({0, 0.02, 0.1});
+  if (fast_restarts) sim.commit_delay_rate = pick({0, 0.02, 0.1});
+  sim.engine.run_for(15 * kSecond);
+  static const std::vector<std::string> kNodeNames{"a", "b", "c"};
+  std::map<std::string, std::string> final_statuses;  // by job
   int submitted = 0;
-  auto any_up = [&] {
+  auto random_running_node = [&] {
     for (int i = 0; i < 20; ++i)
-      if (const auto& n = kNodes[w.random() % 3]; w.up(n)) return n;
+      if (const auto& n = kNodeNames[sim.random() % 3]; sim.is_running(n)) return n;
     return std::string();
   };
   auto poll = [&](const std::string& id) {
-    const auto node = any_up();
+    const auto node = random_running_node();
     if (node.empty()) return;
-    const auto a = w.ask(node, Method::get, "/v1/jobs/" + id);
+    const auto a = sim.call(node, Method::get, "/v1/jobs/" + id);
     EXPECT_NE(a.status, 404) << id;
     if (a.status != 200) return;
-    const auto said = a.body.at("status").get<std::string>();
-    if (auto it = final_told.find(id); it != final_told.end())
-      EXPECT_EQ(said, it->second) << id;
-    else if (said == "done" || said == "withdrawn")
-      final_told[id] = said;
+    const auto status = a.body.at("status").get<std::string>();
+    if (auto it = final_statuses.find(id); it != final_statuses.end())
+      EXPECT_EQ(status, it->second) << id;
+    else if (status == "done" || status == "withdrawn")
+      final_statuses[id] = status;
   };
   std::set<std::string> accepted;
   for (int step = 0; step < 90; ++step) {
-    if (chance(0.2) && submitted < 12) {
+    if (with_probability(0.2) && submitted < 12) {
       const std::string id = "j-" + std::to_string(++submitted);
-      if (const auto node = any_up(); !node.empty()) {
-        const auto a = w.ask(node, Method::post, "/v1/jobs", job(id, 1 + static_cast<int>(w.random() % 20)));
+      if (const auto node = random_running_node(); !node.empty()) {
+        const auto a =
+            sim.call(node, Method::post, "/v1/jobs", job(id, 1 + static_cast<int>(sim.random() % 20)));
         if (a.status == 201 || a.status == 200) accepted.insert(id);
       }
     }
-    if (chance(quick ? 0 : 0.06)) {
-      const auto& n = kNodes[w.random() % 3];
-      if (w.up(n))
-        w.crash(n);
+    if (with_probability(fast_restarts ? 0 : 0.06)) {
+      const auto& n = kNodeNames[sim.random() % 3];
+      if (sim.is_running(n))
+        sim.crash(n);
       else
-        w.start(n);
+        sim.start(n);
     }
-    if (quick && chance(0.15)) {
-      const auto which = w.random() % 8;  // one node, or all
-      for (auto lives = chance(0.2) ? 1 + w.random() % 60 : 1; lives > 0; --lives) {
-        for (std::size_t i = 0; i < kNodes.size(); ++i)
-          if (which >= 3 ? which == 7 : which == i) w.crash(kNodes[i]);
-        w.engine.run_for(static_cast<Micros>(w.random() % 300) * kMillisecond);
-        for (const auto& n : kNodes)
-          if (!w.up(n)) w.start(n);
-        w.engine.run_for(lives > 1 ? 50 * kMillisecond : 0);
+    if (fast_restarts && with_probability(0.15)) {
+      const auto which = sim.random() % 8;  // one node, or all
+      for (auto restarts = with_probability(0.2) ? 1 + sim.random() % 60 : 1; restarts > 0; --restarts) {
+        for (std::size_t i = 0; i < kNodeNames.size(); ++i)
+          if (which >= 3 ? which == 7 : which == i) sim.crash(kNodeNames[i]);
+        sim.engine.run_for(static_cast<Micros>(sim.random() % 300) * kMillisecond);
+        for (const auto& n : kNodeNames)
+          if (!sim.is_running(n)) sim.start(n);
+        sim.engine.run_for(restarts > 1 ? 50 * kMillisecond : 0);
       }
     }
-    if (quick && chance(0.05)) w.store.forget_changes();
-    if (quick && chance(0.1)) {
-      if (w.hold_frames.empty())
-        w.hold_frames = {kNodes[w.random() % 3]};
+    if (fast_restarts && with_probability(0.05)) sim.store.compact_changes();
+    if (fast_restarts && with_probability(0.1)) {
+      if (sim.nodes_with_held_frames.empty())
+        sim.nodes_with_held_frames = {kNodeNames[sim.random() % 3]};
       else
-        w.release_frames();
+        sim.release_frames();
     }
-    if (chance(0.06))
-      if (const auto n = any_up(); !n.empty()) w.freeze(n, from_seconds(some({1, 4, 9, 20})));
-    if (chance(0.05)) w.state_down = !w.state_down;
-    if (chance(0.05))
-      w.state_refuses = chance(0.5) ? std::set{kNodes[w.random() % 3]} : std::set<std::string>{};
-    if (chance(0.05)) w.cut_off = chance(0.5) ? std::set{kNodes[w.random() % 3]} : std::set<std::string>{};
-    if (chance(0.05)) w.hang_some_machine(from_seconds(some({3, 11, 30})));
-    if (copies && chance(0.1)) w.deafen_some_machine(from_seconds(some({5, 20, 60})));
-    if (copies && chance(0.05))  // its workers reach it, nobody else does
-      w.state_refuses = w.cut_off = {kNodes[w.random() % 3]};
-    if (!accepted.empty() && chance(0.5)) {
+    if (with_probability(0.06))
+      if (const auto n = random_running_node(); !n.empty()) sim.freeze(n, from_seconds(pick({1, 4, 9, 20})));
+    if (with_probability(0.05)) sim.state_service_down = !sim.state_service_down;
+    if (with_probability(0.05))
+      sim.nodes_refused_by_state_service =
+          with_probability(0.5) ? std::set{kNodeNames[sim.random() % 3]} : std::set<std::string>{};
+    if (with_probability(0.05))
+      sim.nodes_cut_off_from_peers =
+          with_probability(0.5) ? std::set{kNodeNames[sim.random() % 3]} : std::set<std::string>{};
+    if (with_probability(0.05)) sim.hang_random_machine(from_seconds(pick({3, 11, 30})));
+    if (duplicate_messages && with_probability(0.1))
+      sim.block_messages_to_random_machine(from_seconds(pick({5, 20, 60})));
+    if (duplicate_messages && with_probability(0.05))  // its workers reach it, nobody else does
+      sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {kNodeNames[sim.random() % 3]};
+    if (!accepted.empty() && with_probability(0.5)) {
       auto it = accepted.begin();
-      std::advance(it, static_cast<std::ptrdiff_t>(w.random() % accepted.size()));
+      std::advance(it, static_cast<std::ptrdiff_t>(sim.random() % accepted.size()));
       poll(*it);
-      if (chance(copies ? 0.1 : 0.03))
-        if (const auto n = any_up(); !n.empty())
-          if (const auto a = w.ask(n, Method::post, "/v1/jobs/" + *it + "/withdraw");
+      if (with_probability(duplicate_messages ? 0.1 : 0.03))
+        if (const auto n = random_running_node(); !n.empty())
+          if (const auto a = sim.call(n, Method::post, "/v1/jobs/" + *it + "/withdraw");
               a.status == 200 && a.body.at("status") == "withdrawn")
-            w.cancelled.emplace(*it, w.engine.now);
+            sim.cancelled.emplace(*it, sim.engine.now);
     }
-    w.engine.run_for(from_seconds(some({0.2, 1, 3})));
+    sim.engine.run_for(from_seconds(pick({0.2, 1, 3})));
   }
-  w.state_down = false, w.state_refuses.clear(), w.cut_off.clear(), w.commit_late = w.task_fails = 0;
-  w.release_frames();
-  for (const auto& n : kNodes)
-    if (!w.up(n)) w.start(n);
-  expect_known(w, accepted);
-  for (int i = 0; i < 400 && final_told.size() < accepted.size(); ++i) {
+  sim.state_service_down = false, sim.nodes_refused_by_state_service.clear(),
+  sim.nodes_cut_off_from_peers.clear(), sim.commit_delay_rate = sim.task_failure_rate = 0;
+  sim.release_frames();
+  for (const auto& n : kNodeNames)
+    if (!sim.is_running(n)) sim.start(n);
+  expect_answered_by_all_nodes(sim, accepted);
+  for (int i = 0; i < 400 && final_statuses.size() < accepted.size(); ++i) {
     for (const auto& id : accepted)
-      if (!final_told.contains(id)) poll(id);
-    w.engine.run_for(kSecond);
+      if (!final_statuses.contains(id)) poll(id);
+    sim.engine.run_for(kSecond);
   }
-  for (const auto& id : accepted) EXPECT_TRUE(final_told.contains(id)) << id << " not over";
-  EXPECT_EQ(w.ran_twice, 0) << w.first_twice;
-  EXPECT_EQ(w.ran_cancelled, "");
+  for (const auto& id : accepted) EXPECT_TRUE(final_statuses.contains(id)) << id << " not over";
+  EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
+  EXPECT_EQ(sim.ran_after_cancellation, "");
 }
 
-void play_seeds(unsigned to, Back back) {
-  const char* more = std::getenv("SEEDS");  // "FROM-TO", to look for more
+void run_seeds(unsigned to, FaultProfile profile) {
+  const char* seed_range = std::getenv("SEEDS");  // "FROM-TO", to look for more
   unsigned from = 1;
-  if (more) std::sscanf(more, "%u-%u", &from, &to);
-  for (unsigned seed = from; seed <= to; ++seed) play_troubles(seed, back);
+  if (seed_range) std::sscanf(seed_range, "%u-%u", &from, &to);
+  for (unsigned seed = from; seed <= to; ++seed) run_random_faults(seed, profile);
 }
 
-TEST_F(NodeTest, TroublesOfAllKindsBreakNoRule) { play_seeds(8, Back::later); }
-TEST_F(NodeTest, BackInAMomentBreaksNoRule) { play_seeds(6, Back::quick); }
-TEST_F(NodeTest, CopiesAndLostAnswersBreakNoRule) { play_seeds(6, Back::copies); }
+TEST_F(NodeTest, RandomFaultsBreakNoInvariant) { run_seeds(8, FaultProfile::slow_restarts); }
+TEST_F(NodeTest, ImmediateRestartsBreakNoInvariant) { run_seeds(6, FaultProfile::fast_restarts); }
+TEST_F(NodeTest, DuplicatesAndLostResponsesBreakNoInvariant) {
+  run_seeds(6, FaultProfile::duplicate_messages);
+}
 
 // A new leader waits a moment for all shares to be told; where no types are known yet none can be, and the
 // first machines of a fresh fleet came 1.5 s later.
 TEST_F(NodeTest, TheFirstLeaderAsksForMachineTypesAtOnce) {
-  SmallWorld w;
-  w.engine.run_for(kSecond);
-  EXPECT_TRUE(w.store.keys.contains("s/types"));
+  ClusterSimulation sim;
+  sim.engine.run_for(kSecond);
+  EXPECT_TRUE(sim.store.keys.contains("s/types"));
 }
 
 // The shares of a node that is back at once are not without an owner until its former lease has run out.
-TEST_F(NodeTest, ItsFormerLeaseIsEndedFirst) {
-  SmallWorld w;
-  w.engine.run_for(20 * kSecond);
-  w.crash("b");
-  w.engine.run_for(100 * kMillisecond);
-  w.start("b");
-  const auto former = w.store.keys.at("s/holder/1").value.at("lease");
-  w.engine.run_for(kSecond);  // the lease had some four seconds left
-  const auto now = w.store.keys.find("s/holder/1");
-  ASSERT_NE(now, w.store.keys.end());
+TEST_F(NodeTest, ARestartedNodeRevokesItsFormerLeaseFirst) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  sim.crash("b");
+  sim.engine.run_for(100 * kMillisecond);
+  sim.start("b");
+  const auto former = sim.store.keys.at("s/holder/1").value.at("lease");
+  sim.engine.run_for(kSecond);  // the lease had some four seconds left
+  const auto now = sim.store.keys.find("s/holder/1");
+  ASSERT_NE(now, sim.store.keys.end());
   EXPECT_EQ(now->second.value.at("node"), "b");
   EXPECT_NE(now->second.value.at("lease"), former);
 }
 
 // Three nodes, two of them refused by the state service: their shares must not wait for homes that can't take
 // them.
-TEST_F(NodeTest, TheOnlyNodeThatTheStoreAnswersHoldsAllSoon) {
-  SmallWorld w;
-  w.run_time = 600 * kSecond;
-  w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 40)).status, 201);
-  w.engine.run_for(15 * kSecond);
-  const auto started = w.starts;
+TEST_F(NodeTest, TheOnlyNodeThatReachesTheStoreTakesOverAllShares) {
+  ClusterSimulation sim;
+  sim.run_time = 600 * kSecond;
+  sim.engine.run_for(20 * kSecond);
+  EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-1", 40)).status, 201);
+  sim.engine.run_for(15 * kSecond);
+  const auto started = sim.starts;
   ASSERT_EQ(started.size(), 40U);
-  w.state_refuses = {"a", "b"};
-  w.engine.run_for(8 * kSecond);
+  sim.nodes_refused_by_state_service = {"a", "b"};
+  sim.engine.run_for(8 * kSecond);
   for (const char* s : {"0", "1", "2"})
-    EXPECT_EQ(w.store.keys.at(std::string("s/holder/") + s).value.at("node"), "c") << s;
-  w.engine.run_for(60 * kSecond);
-  EXPECT_EQ(w.starts, started);  // no worker's lease ran out
+    EXPECT_EQ(sim.store.keys.at(std::string("s/holder/") + s).value.at("node"), "c") << s;
+  sim.engine.run_for(60 * kSecond);
+  EXPECT_EQ(sim.starts, started);  // no worker's lease ran out
 }
 
 // Its users were kept by a node that could tell them nothing until the cut was over.
 TEST_F(NodeTest, ANodeCutOffFromStoreAndPeersIsNotReady) {
-  SmallWorld w;
-  w.engine.run_for(20 * kSecond);
-  w.state_refuses = w.cut_off = {"a"};
-  w.engine.run_for(30 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::get, "/ready").status, 503);
-  for (const char* n : {"b", "c"}) EXPECT_EQ(w.ask(n, Method::get, "/ready").status, 200);
-  w.state_refuses.clear(), w.cut_off.clear();
-  w.engine.run_for(10 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::get, "/ready").status, 200);
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {"a"};
+  sim.engine.run_for(30 * kSecond);
+  EXPECT_EQ(sim.call("a", Method::get, "/ready").status, 503);
+  for (const char* n : {"b", "c"}) EXPECT_EQ(sim.call(n, Method::get, "/ready").status, 200);
+  sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
+  sim.engine.run_for(10 * kSecond);
+  EXPECT_EQ(sim.call("a", Method::get, "/ready").status, 200);
   // Without the state service at all, nobody is better than another.
-  w.state_down = true;
-  w.engine.run_for(30 * kSecond);
-  for (const char* n : {"a", "b", "c"}) EXPECT_EQ(w.ask(n, Method::get, "/ready").status, 200);
+  sim.state_service_down = true;
+  sim.engine.run_for(30 * kSecond);
+  for (const char* n : {"a", "b", "c"}) EXPECT_EQ(sim.call(n, Method::get, "/ready").status, 200);
 }
 
 // A submission whose text is in rows of its own, and the answer to a copy of its commit says that the job is
 // there already: the rows were dropped as another try's, and no node could read the job again.
-TEST_F(NodeTest, ACopyOfItsOwnCommitDoesNotLoseAJobInParts) {
-  SmallWorld w({}, 1);
-  w.engine.run_for(20 * kSecond);
+TEST_F(NodeTest, ADuplicateOfItsOwnCommitDoesNotLoseAJobStoredInParts) {
+  ClusterSimulation sim({}, 1);
+  sim.engine.run_for(20 * kSecond);
   auto last = job("j-900", 2);
   last["waitsOn"] = Json::array();
   for (int i = 100'001; i <= 100'080; ++i) {
     const std::string id = "j-" + std::to_string(i);
-    EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
+    EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
     last["waitsOn"].push_back(id);
-    w.engine.run_for(kSecond);
+    sim.engine.run_for(kSecond);
   }
-  w.record_copied_at_once = true;
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", last).status, 200);
-  w.record_copied_at_once = false;
-  EXPECT_TRUE(w.store.keys.lower_bound("s/part/")->first.starts_with("s/part/j-900/"));
-  w.engine.run_for(5 * kSecond);
-  w.crash("b");
-  w.start("b");
-  w.engine.run_for(5 * kSecond);
-  EXPECT_EQ(w.ask("b", Method::get, "/v1/jobs/j-900").status, 200);
-  EXPECT_TRUE(done_in_time(w, "b", "j-900"));
+  sim.duplicate_record_commits = true;
+  EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", last).status, 200);
+  sim.duplicate_record_commits = false;
+  EXPECT_TRUE(sim.store.keys.lower_bound("s/part/")->first.starts_with("s/part/j-900/"));
+  sim.engine.run_for(5 * kSecond);
+  sim.crash("b");
+  sim.start("b");
+  sim.engine.run_for(5 * kSecond);
+  EXPECT_EQ(sim.call("b", Method::get, "/v1/jobs/j-900").status, 200);
+  EXPECT_TRUE(done_in_time(sim, "b", "j-900"));
 }
 
 // A commit of the former process puts its lease's key there after the new process has read all keys: nobody
 // could take the share until that lease had run out.
-TEST_F(NodeTest, ALateKeyOfTheFormerProcessIsNotWaitedFor) {
-  SmallWorld w;
-  w.engine.run_for(20 * kSecond);
-  const auto key = w.store.keys.at("s/holder/0");
-  w.crash("a");
-  w.start("a");
-  w.engine.run_for(kSecond);
-  ASSERT_EQ(w.store.keys.at("s/holder/0").value.at("node"), "a");
-  ASSERT_NE(w.store.keys.at("s/holder/0").value.at("lease"), key.value.at("lease"));
-  const auto grant = w.store.grant(5 * kSecond);  // as the former process had it, not yet over
+TEST_F(NodeTest, ALateHolderKeyOfTheFormerProcessIsReplacedAtOnce) {
+  ClusterSimulation sim;
+  sim.engine.run_for(20 * kSecond);
+  const auto key = sim.store.keys.at("s/holder/0");
+  sim.crash("a");
+  sim.start("a");
+  sim.engine.run_for(kSecond);
+  ASSERT_EQ(sim.store.keys.at("s/holder/0").value.at("node"), "a");
+  ASSERT_NE(sim.store.keys.at("s/holder/0").value.at("lease"), key.value.at("lease"));
+  const auto grant = sim.store.grant_lease(5 * kSecond);  // as the former process had it, not yet over
   auto late = key.value;
   late["lease"] = grant;
-  w.store.set("s/holder/0", late, grant);
-  w.engine.run_for(kSecond);
-  EXPECT_EQ(w.store.keys.at("s/holder/0").value.at("node"), "a");
-  EXPECT_NE(w.store.keys.at("s/holder/0").value.at("lease"), grant);
+  sim.store.set_key("s/holder/0", late, grant);
+  sim.engine.run_for(kSecond);
+  EXPECT_EQ(sim.store.keys.at("s/holder/0").value.at("node"), "a");
+  EXPECT_NE(sim.store.keys.at("s/holder/0").value.at("lease"), grant);
 }
 
 }  // namespace
--- a/tests/ran_twice_test.cpp
+++ b/tests/ran_twice_test.cpp
@@ -15,13 +15,13 @@
   void submit_for_node_a(const std::string& id, int tasks) {
     auto submission = job(id, tasks);
     submission["owner"] = "cards";
-    ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    ASSERT_EQ(world.call("b", Method::post, "/v1/jobs", submission).status, 201);
   }
   std::string owner_of_share_0() const {
     const auto row = world.store.keys.find("s/holder/0");
     return row == world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
   }
-  SmallWorld world;
+  ClusterSimulation world;
 };
 
 // Node a is cut off from the state service and its peers and goes on answering its workers for a bounded time
@@ -30,16 +30,16 @@
 TEST_F(RanTwiceTest, ASecondTakeoverStillWaitsForTheOwnerBeforeTheFirst) {
   for (Micros owned_for = 0; owned_for <= 4 * kSecond; owned_for += kSecond) {
     SCOPED_TRACE(to_seconds(owned_for));
-    SmallWorld w;
+    ClusterSimulation w;
     w.run_time = kLongRun;
-    w.push_lost = 0;
+    w.push_loss_rate = 0;
     w.engine.run_for(20 * kSecond);
     auto submission = job("j-1", 8);
     submission["owner"] = "cards";
-    ASSERT_EQ(w.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    ASSERT_EQ(w.call("b", Method::post, "/v1/jobs", submission).status, 201);
     w.engine.run_for(20 * kSecond);
-    for (const auto& machine : w.machines()) w.only_reaches[machine] = "a";
-    w.state_refuses = w.cut_off = {"a"};
+    for (const auto& machine : w.machines()) w.only_reachable_node[machine] = "a";
+    w.nodes_refused_by_state_service = w.nodes_cut_off_from_peers = {"a"};
     auto owner = [&w] {
       const auto row = w.store.keys.find("s/holder/0");
       return row == w.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
@@ -52,7 +52,7 @@
     w.engine.run_for(50 * kMillisecond);
     w.start(successor);
     w.engine.run_for(60 * kSecond);
-    EXPECT_EQ(w.ran_twice, 0) << w.first_twice;
+    EXPECT_EQ(w.concurrent_runs, 0) << w.first_concurrent_run;
     for (int i = 0; i < 8; ++i) EXPECT_EQ(w.starts["j-1/" + std::to_string(i)], 2);  // none is left waiting
   }
 }
@@ -60,26 +60,26 @@
 // Answers to pushes overtake the worker's reports, whose answers renew its lease all the same: when the
 // machine falls silent, its tasks run until a lease after the last report that was answered.
 TEST_F(RanTwiceTest, AnswersToReportsThatPushAnswersOvertookRenewTheLease) {
-  world.push_lost = 0;
+  world.push_loss_rate = 0;
   world.engine.run_for(20 * kSecond);
   submit_for_node_a("j-1", 12);  // leaves an empty machine that can be used at once
   world.engine.run_for(20 * kSecond);
   world.run_time = kLongRun;
   submit_for_node_a("j-2", 2);
   world.engine.run_for(3 * kSecond);
-  const auto used = world.machines_of("j-2");
+  const auto used = world.machines_running("j-2");
   ASSERT_EQ(used.size(), 1U);
-  world.report_takes = 400 * kMillisecond;
+  world.report_latency = 400 * kMillisecond;
   for (int i = 0; i < 30; ++i) {  // a push now and then while reports are on their way
     auto submission = job("j-" + std::to_string(100 + i), 1);
     submission["owner"] = "cards";
     submission["vcpus"] = 0.1, submission["ramGb"] = 0.1;
-    ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    ASSERT_EQ(world.call("b", Method::post, "/v1/jobs", submission).status, 201);
     world.engine.run_for(200 * kMillisecond);
   }
   world.hang(used[0], 2 * world.worker_lease());
   world.engine.run_for(2 * world.worker_lease());
-  EXPECT_EQ(world.ran_twice, 0) << world.first_twice;
+  EXPECT_EQ(world.concurrent_runs, 0) << world.first_concurrent_run;
   EXPECT_EQ(world.starts["j-2/0"], 2);
 }
 
@@ -88,30 +88,30 @@
 TEST_F(RanTwiceTest, AMachineRecordedWhileAllKeysAreReadAgainIsNotTakenForRemoved) {
   for (Micros read_after = 0; read_after < 7 * kSecond; read_after += kSecond / 2) {
     SCOPED_TRACE(to_seconds(read_after));
-    SmallWorld w;
-    w.push_lost = 0;
+    ClusterSimulation w;
+    w.push_loss_rate = 0;
     w.engine.run_for(20 * kSecond);
     ASSERT_EQ(w.store.keys.at("s/leader").value.at("node"), "a");
     auto submit = [&w](const std::string& id) {
       auto submission = job(id, 24);
       submission["owner"] = "cards";
-      ASSERT_EQ(w.ask("a", Method::post, "/v1/jobs", submission).status, 201);
+      ASSERT_EQ(w.call("a", Method::post, "/v1/jobs", submission).status, 201);
     };
     w.run_time = 18 * kSecond;  // makes room on other machines once the new ones have their tasks
     submit("j-1");
     w.engine.run_for(18 * kSecond);
     w.run_time = kLongRun;
-    w.watch_stalls = {"a"};
+    w.nodes_with_stalled_watches = {"a"};
     submit("j-2");
     w.engine.run_for(read_after);
-    w.store.rows_in_page = 4;
-    w.store.page_takes = kSecond;  // as if there were very many pages
-    w.store.forget_changes();
-    w.watch_stalls.clear();
+    w.store.page_size = 4;
+    w.store.page_latency = kSecond;  // as if there were very many pages
+    w.store.compact_changes();
+    w.nodes_with_stalled_watches.clear();
     w.engine.run_for(20 * kSecond);
-    w.store.page_takes = 0;
+    w.store.page_latency = 0;
     w.engine.run_for(60 * kSecond);
-    EXPECT_EQ(w.ran_twice, 0) << w.first_twice;
+    EXPECT_EQ(w.concurrent_runs, 0) << w.first_concurrent_run;
     EXPECT_EQ(w.starts.size(), 48U);
     for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
   }
@@ -126,10 +126,10 @@
 //   machine i-100003 leaves share 0 for -1
 //   start j-1/9 try 2097154 on i-100002 session 1 token 2097152 by push
 TEST_F(RanTwiceTest, ResultsThatAreNotRecordedYetOutliveAMachinesChangeOfShare) {
-  world.push_lost = 0;
-  world.commit_lost = [](const std::string& body) { return body.find("\"p/") != std::string::npos; };
+  world.push_loss_rate = 0;
+  world.drop_commit = [](const std::string& body) { return body.find("\"p/") != std::string::npos; };
   world.engine.run_for(20 * kSecond);
-  world.run_spread = 200 * kSecond;
+  world.run_time_spread = 200 * kSecond;
   submit_for_node_a("j-1", 48);
   world.engine.run_for(190 * kSecond);
   const auto results = world.completed;
--- a/tests/records_rows_test.cpp
+++ b/tests/records_rows_test.cpp
@@ -21,8 +21,8 @@
     return {"s/holder/1", share::owner_to_json({"b", 7, epoch, version}), version, false};
   }
   wire::PlatformSettings platform = wire::parse_settings(settings_json().dump());
-  Engine engine;
-  NodeLoop loop{engine};
+  SimulationEngine engine;
+  SimulatedLoop loop{engine};
   Silent http;
   store::Client store{loop, http, platform};
   app::Records records{platform,
--- a/tests/requests_test.cpp
+++ b/tests/requests_test.cpp
@@ -3,7 +3,7 @@
 #include <limits>
 
 #include "app/records.h"
-#include "users.h"
+#include "simulated_users.h"
 
 namespace aspenwick::testing {
 namespace {
@@ -12,8 +12,8 @@
 
 struct RequestsTest : NodeTest {
   /// Whether anything of the job was written.
-  static bool written(const SmallWorld& w, const std::string& id) {
-    return std::any_of(w.commits.begin(), w.commits.end(),
+  static bool written(const ClusterSimulation& w, const std::string& id) {
+    return std::any_of(w.sent_commits.begin(), w.sent_commits.end(),
                        [&](const auto& text) { return text.find(id) != std::string::npos; });
   }
 };
@@ -21,7 +21,7 @@
 // Each field left out, null, of another type, out of range: 400 with a reason that names it, or 422 for what
 // can never run; never a 5xx, and nothing is written. What may be null may be left out (PROTOCOL).
 TEST_F(RequestsTest, NothingIsAcceptedThatLacksAFieldOrCanNeverRun) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.engine.run_for(20 * kSecond);
   const Json gone = Json(Json::value_t::discarded);
   const std::vector<Json> odd_texts{
@@ -58,7 +58,7 @@
         j.erase(row.field);
       else
         j[row.field] = value;
-      const auto told = w.ask("a", Method::post, "/v1/jobs", j);
+      const auto told = w.call("a", Method::post, "/v1/jobs", j);
       EXPECT_EQ(told.status, 400) << j.dump();
       EXPECT_NE(told.body.value("error", "").find(row.field), std::string::npos) << told.body << j.dump();
       EXPECT_FALSE(written(w, id)) << j.dump();
@@ -68,11 +68,11 @@
     const std::string id = "j-" + std::to_string(++n);
     std::string text = job(id, 1).dump();
     text.insert(1, twice);
-    EXPECT_EQ(w.ask_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
+    EXPECT_EQ(w.call_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
     EXPECT_FALSE(written(w, id));
   }
   for (const char* text : {"", "{", "[]", "null", "1", "{\"nameId\":", "\xff\xfe"})
-    EXPECT_EQ(w.ask_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
+    EXPECT_EQ(w.call_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
 
   struct Never {
     const char* field;
@@ -89,7 +89,7 @@
     const std::string id = "j-" + std::to_string(++n);
     auto j = job(id, 1);
     j[field] = value;
-    const auto told = w.ask("a", Method::post, "/v1/jobs", j);
+    const auto told = w.call("a", Method::post, "/v1/jobs", j);
     EXPECT_EQ(told.status, 422) << j.dump();
     EXPECT_FALSE(told.body.value("error", "").empty());
     EXPECT_FALSE(written(w, id)) << j.dump();
@@ -98,27 +98,27 @@
     const std::string id = "j-" + std::to_string(++n);
     auto j = job(id, 5);
     j["owner"] = "tight", j["shape"] = shape;
-    EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", j).status, 422) << j.dump();
+    EXPECT_EQ(w.call("c", Method::post, "/v1/jobs", j).status, 422) << j.dump();
     EXPECT_FALSE(written(w, id));
   }
   auto spread = job("j-600000", 2);  // at most one of the two in a zone, and they have one zone
   spread["shape"] = "group", spread["spread"] = true, spread["site"] = "z1";
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
+  EXPECT_EQ(w.call("c", Method::post, "/v1/jobs", spread).status, 422);
   spread["site"] = nullptr, spread["together"] = true;
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
+  EXPECT_EQ(w.call("c", Method::post, "/v1/jobs", spread).status, 422);
 
   // What may be null may be left out.
   auto least = job("j-600001", 1);
   for (const char* f : {"rigtypes", "site", "dueS"}) least.erase(f);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", least).status, 201);
+  EXPECT_EQ(w.call("a", Method::post, "/v1/jobs", least).status, 201);
 }
 
 // A retry of an accepted job is never refused: not by a node that has not heard of it yet, whatever it makes
 // of the job itself by its own limits, types and records.
 TEST_F(RequestsTest, ARetryOfAnAcceptedJobIsNeverRefused) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 1)).status, 201);
+  EXPECT_EQ(w.call("a", Method::post, "/v1/jobs", job("j-1", 1)).status, 201);
   w.engine.run_for(kSecond);
   // Accepted elsewhere a moment ago, while the limits and types were others: no watch has told of it.
   auto large = job("j-2", 1);
@@ -126,30 +126,30 @@
   auto record = w.store.keys.at("s/job/j-1").value;
   record["spec"] = large;
   w.store.set("s/job/j-2", record, 0);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", large).status, 200);
+  EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", large).status, 200);
   auto bad = job("j-3", 1);
   bad["waitsOn"] = 1;
   w.store.set("s/job/j-3", record, 0);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", bad).status, 200);
+  EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", bad).status, 200);
   // While the state service can't be asked nothing is refused for good either.
   auto unknown = job("j-4", 1);
   unknown["vcpus"] = 17.0;
-  w.state_refuses = {"b"};
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", unknown).status, 503);
+  w.nodes_refused_by_state_service = {"b"};
+  EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", unknown).status, 503);
 }
 
 // Our commit was executed, the answer comes late, and the user was told by another node meanwhile that the
 // job is over: what we tell then is not that it is queued.
 TEST_F(RequestsTest, ALateAnswerTellsTheNewestThatIsKnown) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.engine.run_for(20 * kSecond);
-  w.state_slow = 1900 * kMillisecond;
-  std::vector<Answer> told;
-  w.send("b", Method::post, "/v1/jobs", job("j-1", 1), [&](const Answer& a) { told.push_back(a); });
+  w.state_service_latency = 1900 * kMillisecond;
+  std::vector<Response> told;
+  w.send("b", Method::post, "/v1/jobs", job("j-1", 1), [&](const Response& a) { told.push_back(a); });
   w.engine.run_for(100 * kMillisecond);
   ASSERT_TRUE(w.store.keys.contains("s/job/j-1"));
-  w.state_slow = 0;
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs/j-1/withdraw").body.value("status", ""), "withdrawn");
+  w.state_service_latency = 0;
+  EXPECT_EQ(w.call("c", Method::post, "/v1/jobs/j-1/withdraw").body.value("status", ""), "withdrawn");
   ASSERT_TRUE(told.empty());
   w.engine.run_for(2 * kSecond);
   ASSERT_EQ(told.size(), 1U);
@@ -159,32 +159,32 @@
 // The owner's word on a job takes its time, and the job is called off at the node that asked: it is not told
 // as queued after that.
 TEST_F(RequestsTest, APeersLateWordTellsNothingOlder) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.run_time = 600 * kSecond;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", job("j-1", 1)).status, 201);
+  EXPECT_EQ(w.call("a", Method::post, "/v1/jobs", job("j-1", 1)).status, 201);
   w.engine.run_for(30 * kSecond);
   int held_by_others = 0;
-  for (const auto& node : kNodes) {
-    if (w.ask(node, Method::get, "/v1/jobs/j-1").body.value("status", "") != "running") continue;
+  for (const auto& node : kNodeNames) {
+    if (w.call(node, Method::get, "/v1/jobs/j-1").body.value("status", "") != "running") continue;
     ++held_by_others;
   }
   EXPECT_EQ(held_by_others, 3);
   // Slow, it does not go back from running to queued.
-  w.hold_frames = {"a", "b", "c"};
-  for (const auto& node : kNodes)
-    EXPECT_EQ(w.ask(node, Method::get, "/v1/jobs/j-1").body.value("status", ""), "running") << node;
-  std::vector<Answer> told;
-  for (const auto& node : kNodes)
-    w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Answer& a) { told.push_back(a); });
+  w.nodes_with_held_frames = {"a", "b", "c"};
+  for (const auto& node : kNodeNames)
+    EXPECT_EQ(w.call(node, Method::get, "/v1/jobs/j-1").body.value("status", ""), "running") << node;
+  std::vector<Response> told;
+  for (const auto& node : kNodeNames)
+    w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Response& a) { told.push_back(a); });
   w.engine.run_for(60 * kMillisecond);  // read afresh; the owner is being asked
   const auto before = told.size();
   // The owner knows it, and can't say so: the user comes again, and nobody is told anything older meanwhile.
-  Answer cancelled;
+  Response cancelled;
   for (int i = 0; i < 10 && cancelled.status != 200; ++i) {
-    cancelled = w.ask("a", Method::post, "/v1/jobs/j-1/withdraw");
-    for (const auto& node : kNodes)
-      w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Answer& a) { told.push_back(a); });
+    cancelled = w.call("a", Method::post, "/v1/jobs/j-1/withdraw");
+    for (const auto& node : kNodeNames)
+      w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Response& a) { told.push_back(a); });
     w.engine.run_for(kSecond);
   }
   EXPECT_EQ(cancelled.body.value("status", ""), "withdrawn");
@@ -192,7 +192,7 @@
   ASSERT_GE(told.size(), 6U);
   for (auto i = before; i < told.size(); ++i)
     EXPECT_TRUE(told[i].status == 503 || told[i].body.value("status", "") == "withdrawn") << told[i].body;
-  EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-1").body.value("status", ""), "withdrawn");
+  EXPECT_EQ(w.call("a", Method::get, "/v1/jobs/j-1").body.value("status", ""), "withdrawn");
 }
 
 /// A node's records alone: nothing is sent, nothing answered.
@@ -204,8 +204,8 @@
 // Records of a job come by the watch, a fresh read, a peer's word and our own commits, in any order and
 // again: in the end the last one stands, and what was over stays so all the way.
 TEST_F(RequestsTest, TheLastRecordStandsInWhicheverOrderTheyCome) {
-  Engine engine;
-  NodeLoop loop(engine);
+  SimulationEngine engine;
+  SimulatedLoop loop(engine);
   Silent http;
   const auto platform = wire::parse_settings(settings_json().dump());
   store::Client client(loop, http, platform);
@@ -249,8 +249,8 @@
 // A cancellation that a peer of the former version tells goes by no revision until its record comes: others
 // have read up to the open record's, which tells nothing of it.
 TEST_F(RequestsTest, ACancellationToldAheadOfItsRecordHasNoRevision) {
-  Engine engine;
-  NodeLoop loop(engine);
+  SimulationEngine engine;
+  SimulatedLoop loop(engine);
   Silent http;
   const auto platform = wire::parse_settings(settings_json().dump());
   store::Client client(loop, http, platform);
--- a/tests/result_writer_test.cpp
+++ b/tests/result_writer_test.cpp
@@ -91,8 +91,8 @@
   static constexpr std::uint64_t kLease = 7;
   wire::PlatformSettings platform = wire::parse_settings(settings_json().dump());
   app::OperatorSettings settings = with_epochs_raised_at_once();
-  Engine engine;
-  NodeLoop loop{engine};
+  SimulationEngine engine;
+  SimulatedLoop loop{engine};
   Scripted http;
   store::Client store{loop, http, platform};
   app::Records records{platform,
--- a/tests/stale_records_test.cpp
+++ b/tests/stale_records_test.cpp
@@ -8,7 +8,7 @@
 // its watch, as of before the pause, was followed anew at 135.08 s; the start left at 135.06 s under the
 // token from before the pause. The cause: the right to start was judged by the lease alone, and nothing asked
 // how old the records were.
-#include "users.h"
+#include "simulated_users.h"
 
 namespace aspenwick::testing {
 namespace {
@@ -21,13 +21,13 @@
 struct StaleRecordsTest : NodeTest {};
 
 /// Node a has lost the last changes and reads all keys again, in pages of a few keys that take a while each.
-void read_all_keys_again(SmallWorld& world, std::size_t rows_in_page, Micros page_takes) {
-  world.watch_stalls = {"a"};
-  EXPECT_EQ(world.ask("b", net::Method::post, "/v1/jobs", job("j-9", 1)).status, 201);
-  world.store.rows_in_page = rows_in_page;
-  world.store.page_takes = page_takes;
-  world.store.forget_changes();
-  world.watch_stalls.clear();
+void read_all_keys_again(ClusterSimulation& world, std::size_t page_size, Micros page_latency) {
+  world.nodes_with_stalled_watches = {"a"};
+  EXPECT_EQ(world.call("b", net::Method::post, "/v1/jobs", job("j-9", 1)).status, 201);
+  world.store.page_size = page_size;
+  world.store.page_latency = page_latency;
+  world.store.compact_changes();
+  world.nodes_with_stalled_watches.clear();
   world.engine.run_for(100 * kMillisecond);
 }
 
@@ -36,14 +36,14 @@
     const auto row = world.store.keys.find("s/holder/0");
     return row == world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
   }
-  SmallWorld world;
-  Users users{world};
+  ClusterSimulation world;
+  SimulatedUsers users{world};
 };
 
 /// The long tasks of job j-1 run on as many machines of share 0, which node a owns.
 struct RunningJob : World {
   RunningJob() {
-    world.push_lost = 0;
+    world.push_loss_rate = 0;
     world.run_time = kLongRun;
     world.engine.run_for(20 * kSecond);
     auto submission = job("j-1", kTasks);
@@ -56,9 +56,9 @@
   }
   void expect_nothing_started_after_the_cancellation() const {
     EXPECT_TRUE(world.cancelled.contains("j-1"));
-    EXPECT_EQ(world.start_after_cancellation, 0) << world.started_cancelled;
-    EXPECT_EQ(world.ran_cancelled, "");
-    EXPECT_EQ(world.ran_twice, 0) << world.first_twice;
+    EXPECT_EQ(world.latest_start_after_cancellation, 0) << world.latest_cancelled_start;
+    EXPECT_EQ(world.ran_after_cancellation, "");
+    EXPECT_EQ(world.concurrent_runs, 0) << world.first_concurrent_run;
   }
 };
 
@@ -66,10 +66,10 @@
   for (Micros longer = 0; longer < 1300 * kMillisecond; longer += 50 * kMillisecond) {
     SCOPED_TRACE(to_seconds(longer));
     RunningJob r;
-    r.world.report_takes = 300 * kMillisecond;  // some reach the owner just after it is awake
-    r.world.interrupt_state_service(kPause + 5 * kSecond);
+    r.world.report_latency = 300 * kMillisecond;  // some reach the owner just after it is awake
+    r.world.flap_state_service(kPause + 5 * kSecond);
     r.world.freeze("a", kPause + longer);
-    r.world.cut_off = {"a"};  // what its peers tell it is lost
+    r.world.nodes_cut_off_from_peers = {"a"};  // what its peers tell it is lost
     r.world.engine.run_for(kCancelledAfter);
     r.users.cancel("j-1", "b");
     r.world.engine.run_for(kPause + longer - kCancelledAfter);
@@ -82,14 +82,14 @@
 /// Node a owns share 0, on whose four machines the many short tasks of job j-1 take turns.
 struct WaitingTasks : World {
   WaitingTasks() {
-    world.push_lost = 0;
-    world.most_machines = 4;
+    world.push_loss_rate = 0;
+    world.max_machines = 4;
     world.run_time = kSecond;
     world.engine.run_for(20 * kSecond);
     submit("j-1");
     world.engine.run_for(30 * kSecond);
     EXPECT_EQ(owner_of_share_0(), "a");
-    EXPECT_FALSE(world.machines_of("j-1").empty());
+    EXPECT_FALSE(world.machines_running("j-1").empty());
   }
   void submit(const std::string& id) {
     auto submission = job(id, 600);
@@ -102,22 +102,22 @@
 // again.
 TEST_F(StaleRecordsTest, AnOwnerThatReadsAllKeysAgainStartsNothingThatWasCancelledMeanwhile) {
   WaitingTasks w;
-  w.world.cut_off = {"a"};
+  w.world.nodes_cut_off_from_peers = {"a"};
   read_all_keys_again(w.world, 4, 2 * kSecond);
   w.users.cancel("j-1", "b");
   w.world.engine.run_for(12 * kSecond);
   EXPECT_TRUE(w.world.cancelled.contains("j-1"));
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
+  EXPECT_EQ(w.world.latest_start_after_cancellation, 0) << w.world.latest_cancelled_start;
   EXPECT_EQ(w.owner_of_share_0(), "a");
   w.world.engine.run_for(60 * kSecond);
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
+  EXPECT_EQ(w.world.latest_start_after_cancellation, 0) << w.world.latest_cancelled_start;
 }
 
 // An owner whose lease is valid renews its workers' leases too: not for longer than a cancellation may stay
 // unknown.
 TEST_F(StaleRecordsTest, WorkersAreNotRenewedForLongOnOldRecords) {
   RunningJob r;
-  r.world.cut_off = {"a"};
+  r.world.nodes_cut_off_from_peers = {"a"};
   read_all_keys_again(r.world, 1, 2900 * kMillisecond);
   r.users.cancel("j-1", "b");
   r.world.engine.run_for(8 * kSecond);
@@ -131,13 +131,13 @@
 // beside it.
 TEST_F(StaleRecordsTest, AWatchThatIsHeldStopsNoStartsAndHidesNoCancellation) {
   WaitingTasks w;
-  w.world.cut_off = {"a"};
-  w.world.open_watches_held = {"a"};
+  w.world.nodes_cut_off_from_peers = {"a"};
+  w.world.nodes_with_stalled_long_polls = {"a"};
   w.submit("j-2");
   w.users.cancel("j-1", "b");
   w.world.engine.run_for(8 * kSecond);
   EXPECT_TRUE(w.world.cancelled.contains("j-1"));
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
+  EXPECT_EQ(w.world.latest_start_after_cancellation, 0) << w.world.latest_cancelled_start;
   const auto started = w.world.starts.size();
   w.world.engine.run_for(20 * kSecond);
   EXPECT_GT(w.world.starts.size(), started + 100);  // of j-2
@@ -150,10 +150,10 @@
   const auto machines = w.world.machines().size();
   read_all_keys_again(w.world, 1, 2 * kSecond);
   w.world.engine.run_for(6 * kSecond);
-  w.world.most_machines = 100;  // the cloud has more now, and there is work for them
+  w.world.max_machines = 100;  // the cloud has more now, and there is work for them
   w.world.engine.run_for(20 * kSecond);
   EXPECT_EQ(w.world.machines().size(), machines);
-  w.world.store.page_takes = 0;
+  w.world.store.page_latency = 0;
   w.world.engine.run_for(30 * kSecond);
   EXPECT_GT(w.world.machines().size(), machines);
 }
@@ -166,7 +166,7 @@
     RunningJob r;
     ASSERT_EQ(r.world.store.keys.at("s/leader").value.at("node"), "a");
     const auto machines = r.world.machines().size();
-    r.world.interrupt_state_service(kPause + 2 * kSecond);
+    r.world.flap_state_service(kPause + 2 * kSecond);
     r.world.freeze("a", kPause + longer);
     r.world.engine.run_for(kPause + longer + 20 * kSecond);
     EXPECT_EQ(r.world.machines().size(), machines);
@@ -177,20 +177,20 @@
 // The node that confirms has not read that the share changed its owner: the former one's word is not enough.
 TEST_F(StaleRecordsTest, AFormerOwnersWordConfirmsNoCancellation) {
   WaitingTasks w;
-  w.world.watch_stalls = {"c"};
+  w.world.nodes_with_stalled_watches = {"c"};
   w.world.crash("a");
   for (int i = 0; i < 100 && w.owner_of_share_0() != "b"; ++i) w.world.engine.run_for(kSecond / 10);
   ASSERT_EQ(w.owner_of_share_0(), "b");
   w.world.start("a");
   w.world.engine.run_for(1500 * kMillisecond);
-  w.world.open_watches_held = w.world.cut_off = {"b"};
+  w.world.nodes_with_stalled_long_polls = w.world.nodes_cut_off_from_peers = {"b"};
   const auto started = w.world.starts.size();
   w.users.cancel("j-1", "c");
   w.world.engine.run_for(2 * kSecond);
   ASSERT_GT(w.world.starts.size(), started);  // by b, which doesn't know yet
   w.world.engine.run_for(8 * kSecond);
   EXPECT_TRUE(w.world.cancelled.contains("j-1"));
-  EXPECT_EQ(w.world.start_after_cancellation, 0) << w.world.started_cancelled;
+  EXPECT_EQ(w.world.latest_start_after_cancellation, 0) << w.world.latest_cancelled_start;
 }
 
 // Where the owner can be reached, its word costs a round trip and the watch's pause, and no retry.
@@ -201,7 +201,7 @@
     w.submit(id);
     w.world.engine.run_for(kSecond + i * 23 * kMillisecond);
     const Micros asked = w.world.engine.now;
-    EXPECT_EQ(w.world.ask("b", net::Method::post, "/v1/jobs/" + id + "/withdraw").status, 200);
+    EXPECT_EQ(w.world.call("b", net::Method::post, "/v1/jobs/" + id + "/withdraw").status, 200);
     EXPECT_LE(w.world.engine.now - asked, 120 * kMillisecond);
   }
 }
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -4,8 +4,8 @@
 #include <deque>
 #include <utility>
 
+#include "cluster_simulation.h"
 #include "fixtures.h"
-#include "small_world.h"
 #include "store/client.h"
 
 namespace aspenwick::store {
@@ -51,8 +51,8 @@
     return http.take();
   }
   wire::PlatformSettings platform = wire::parse_settings(testing::settings_json().dump());
-  testing::Engine engine;
-  testing::NodeLoop loop{engine};
+  testing::SimulationEngine engine;
+  testing::SimulatedLoop loop{engine};
   Scripted http;
   Client client{loop, http, platform};
   Scripted::Call watch;
