--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -9,7 +9,7 @@
 namespace aspenwick::testing {
 namespace {
 constexpr Micros kNetworkLatency = 2 * kMillisecond;
-constexpr Micros kReportTimeout = 4 * kSecond;  // of a node to a worker's report
+constexpr Micros kReportTimeout = 4 * kSecond;  // a worker's, for a node's response to a report
 
 }  // namespace
 
@@ -20,18 +20,19 @@
   bool spot = false;
   std::uint64_t tally = 0, token = 0, session = 1;
   std::string node = "a";
-  std::uint64_t report_in_flight = 0;  // the report in flight; 0: none
+  std::uint64_t report_in_flight = 0;  // its number; 0: none
   Micros lease_ends = 0, hung_until = 0, unreachable_until = 0, reports_blocked_until = 0;
   bool running = false;
   std::uint16_t port = 0;
   struct Task {
-    std::string end_cause;        // empty: it is there
-    bool waits_for_gang = false;  // for the rest of its gang
+    std::string end_cause;        // empty: it has not ended
+    bool waits_for_gang = false;  // not all tasks of its gang are there yet
   };
   std::map<std::pair<std::string, std::uint64_t>, Task> tasks;  // by task and attempt
 };
 
-/// What a node sends over HTTP, and its frames.
+/// Delivers a node's HTTP requests and its frames to peers, with the faults that are active. Port 6 is the
+/// state service, port 5 the cloud; all others are workers.
 class ClusterSimulation::NodeTransport : public net::Requester, public share::PeerTransport {
  public:
   NodeTransport(ClusterSimulation& sim, std::string node, net::Loop& loop)
@@ -164,7 +165,7 @@
       });
 }
 
-/// A request to a node; answered once, or never if the node crashes first.
+/// A request to a node; throws if it is answered twice. Never answered if the node crashes first.
 class ClusterSimulation::InProcessExchange : public net::Exchange {
  public:
   InProcessExchange(net::Method method, std::string path, std::string body,
@@ -176,7 +177,7 @@
 
  protected:
   void send(const Answer& a) override {
-    if (!done_) throw std::logic_error("answered twice: " + path_);
+    if (!done_) throw std::logic_error("request answered twice: " + path_);
     std::exchange(done_, nullptr)(a.status, a.body);
   }
 
@@ -244,7 +245,7 @@
   w->hung_until = engine.now + 3600 * kSecond;
 }
 
-/// All that is on the machine is gone, results too.
+/// Removes all tasks of a machine, and the results that no node has acknowledged.
 void ClusterSimulation::lose_tasks(Worker& w) {
   for (const auto& [key, t] : w.tasks)
     if (t.end_cause == "done") lost_results_.insert(key.first);
@@ -381,7 +382,7 @@
           {"pieces", pieces}};
 }
 
-/// Nobody answered for so long: it ends all and begins anew.
+/// If the worker's lease has run out, ends all of its tasks and begins a new session.
 void ClusterSimulation::check_lease(Worker& w) {
   if (engine.now <= w.lease_ends) return;
   lose_tasks(w);
@@ -412,7 +413,7 @@
     return try_next_node(w);
   const bool lost = with_probability(report_loss_rate), response_lost = lost && with_probability(0.5);
   const std::uint64_t report_id = w.report_in_flight = w.tally + 1;
-  engine.at(kReportTimeout, [this, id, report_id] {  // what comes later is dropped
+  engine.at(kReportTimeout, [this, id, report_id] {  // a later response is dropped
     auto it = workers_.find(id);
     if (it == workers_.end() || it->second.report_in_flight != report_id) return;
     it->second.report_in_flight = 0;
@@ -500,7 +501,7 @@
   }
 }
 
-/// A task that is done is started again although its result was not lost.
+/// Records the start of a completed task whose result was not lost.
 void ClusterSimulation::check_rerun(const Worker& w, const std::string& task) {
   if (!completed.contains(task) || lost_results_.contains(task)) return;
   const auto machine = workers_.find(completed_on_[task]);
@@ -510,7 +511,8 @@
                            std::to_string(to_seconds(engine.now));
 }
 
-/// What is on a machine counts, started or not seen to go.
+/// Records a task that is on a machine longer than the cancellation timeout after the user was told. It
+/// counts whether it has just been started or has not been stopped yet.
 void ClusterSimulation::check_cancelled(const Worker& w, const std::string& task) {
   const auto cancellation = cancelled.find(task.substr(0, task.find('/')));
   if (cancellation != cancelled.end() && engine.now > cancellation->second + cancel_time_ &&
@@ -518,7 +520,7 @@
     ran_after_cancellation = task + " on " + w.id + " at " + std::to_string(to_seconds(engine.now));
 }
 
-/// A start on a machine that the job forbids, or by which its team has more than its limit.
+/// Records a start on a machine that the job forbids, or one that exceeds the team's limits.
 void ClusterSimulation::check_placement(const Worker& w, const std::string& task) {
   const std::string id = task.substr(0, task.find('/'));
   if (const auto cancellation = cancelled.find(id);
@@ -531,7 +533,8 @@
   if (job == submitted.end() || !placement_violation.empty()) return;
   const Json& j = job->second;
   if (!j.at("site").is_null() && j.at("site") != w.zone) placement_violation = "wrong zone: " + task;
-  if (w.spot && !j.at("loaner").get<bool>()) placement_violation = "on a spot machine: " + task;
+  if (w.spot && !j.at("loaner").get<bool>())
+    placement_violation = "on a spot machine that the job forbids: " + task;
   double cpus_limit = 0, gpus_limit = 0;
   double cpus = j.at("vcpus").get<double>(), gpus = j.at("cards").get<double>();
   const Json settings = settings_json();
@@ -544,17 +547,16 @@
       const auto other_job = submitted.find(other_job_id);
       if (!t.end_cause.empty() || engine.now > other.lease_ends || other_job == submitted.end()) continue;
       if (j.at("together").get<bool>() && other_job_id == id && other.zone != w.zone)
-        placement_violation = "two zones: " + task;
+        placement_violation = "in a second zone: " + task;
       if (other_job->second.at("owner") != j.at("owner")) continue;
       cpus += other_job->second.at("vcpus").get<double>(),
           gpus += other_job->second.at("cards").get<double>();
     }
-  if (cpus_limit > 0 && cpus > cpus_limit + 0.001) placement_violation = "over the team's limit: " + task;
-  if (gpus_limit > 0 && gpus > gpus_limit + 0.001)
-    placement_violation = "over the team's limit of GPUs: " + task;
+  if (cpus_limit > 0 && cpus > cpus_limit + 0.001) placement_violation = "over the team's CPU limit: " + task;
+  if (gpus_limit > 0 && gpus > gpus_limit + 0.001) placement_violation = "over the team's GPU limit: " + task;
 }
 
-/// No order to start leaves once the user was told.
+/// Records an order to start a task that left its node after the user was told of the cancellation.
 void ClusterSimulation::check_order_time(const Worker& w, const std::string& task, Micros ordered_at) {
   const auto cancellation = cancelled.find(task.substr(0, task.find('/')));
   if (cancellation == cancelled.end() || ordered_at - cancellation->second <= latest_order_after_cancellation)
@@ -563,8 +565,8 @@
   latest_cancelled_order = task + " on " + w.id + " at " + std::to_string(to_seconds(engine.now));
 }
 
-/// For some seconds: between the end of a task and the start of the next there is room that nobody leaves
-/// unused.
+/// Whether the condition has held for 5 s. Shorter free capacity, as between the end of a task and the start
+/// of the next, doesn't count as left unused.
 bool ClusterSimulation::has_lasted(const std::string& condition, bool holds) {
   if (!holds) {
     condition_since_.erase(condition);
@@ -573,7 +575,8 @@
   return engine.now - condition_since_.try_emplace(condition, engine.now).first->second >= 5 * kSecond;
 }
 
-/// So many tasks of the job would fit on machines that are up and reached, within its team's limit.
+/// Whether this many more tasks of the job fit on running, reachable machines and within its team's limits,
+/// and did so for 5 s. Tasks of a job that must stay together have to fit in one zone.
 bool ClusterSimulation::has_capacity(const Json& j, int tasks) {
   const auto job = j.at("nameId").get<std::string>();
   const double cpus = j.at("vcpus").get<double>(), gpus = j.at("cards").get<double>(),
@@ -619,10 +622,11 @@
   return std::any_of(by_zone.begin(), by_zone.end(), [&](const auto& z) { return z.second >= tasks; });
 }
 
-/// No job waits for long beside room: nothing of it started all the while, and there was room all the while.
+/// Every second, records jobs that have waited too long: none of their tasks started although there was
+/// capacity for them all the while.
 void ClusterSimulation::check_waiting_jobs() {
   engine.at(kSecond, [this] { check_waiting_jobs(); });
-  spdlog::debug("---- {} s", engine.now / kSecond);
+  spdlog::debug("---- simulated time {} s", engine.now / kSecond);
   if (!tracking_waits_) return;
   std::set<std::string> present;
   for (const auto& [id, w] : workers_)
@@ -643,7 +647,7 @@
       open =
           open && dependency_record != store.keys.end() && dependency_record->second.value.at("st") == "done";
     }
-    // A gang that runs is to run whole again once it has ended.
+    // Gangs start as a whole: none waits while a part of its tasks is still there.
     open = open && (j.at("shape") != "group" || waiting == tasks);
     if (!open || !has_capacity(j, j.at("shape") == "group" ? tasks : 1)) {
       waiting_since_.erase(id);
@@ -660,7 +664,7 @@
                      (record == store.keys.end() ? "none" : record->second.value.at("share").dump()) + ":";
       for (const auto& [key, t] : w.tasks)
         starved_job +=
-            " " + key.first + (t.end_cause.empty() ? t.waits_for_gang ? " waits" : "" : " " + t.end_cause);
+            " " + key.first + (t.end_cause.empty() ? t.waits_for_gang ? " waiting" : "" : " " + t.end_cause);
     }
   }
 }
@@ -674,7 +678,7 @@
   return job != submitted.end() && job->second.at("shape") == "group";
 }
 
-/// Where the tasks of an attempt are, all that are there.
+/// The running tasks of a gang's attempt, with their machines.
 std::vector<std::pair<ClusterSimulation::Worker*, std::string>> ClusterSimulation::gang_members(
     const std::string& job, std::uint64_t attempt) {
   std::vector<std::pair<Worker*, std::string>> out;
@@ -686,7 +690,7 @@
   return out;
 }
 
-/// Once all are there they run.
+/// Lets a gang run once all of its tasks are there.
 void ClusterSimulation::run_gang_if_complete(const std::string& job, std::uint64_t attempt) {
   const auto all = gang_members(job, attempt);
   if (static_cast<int>(all.size()) < submitted.at(job).at("pieces").get<int>()) return;
@@ -694,7 +698,8 @@
   monitor_gang(job, attempt, engine.now + run_time);
 }
 
-/// They end together; if one is gone or stands still, the others notice it in time.
+/// Completes all tasks of a gang together. If one is gone or its machine hangs, the others end within the
+/// peer timeout.
 void ClusterSimulation::monitor_gang(const std::string& job, std::uint64_t attempt, Micros ends) {
   const auto all = gang_members(job, attempt);
   const bool all_running =
@@ -742,7 +747,8 @@
       return;
     }
   for (auto& [id, other] : workers_) {
-    if (engine.now > other.lease_ends) continue;  // over, though it has not looked yet
+    if (engine.now > other.lease_ends)
+      continue;  // its tasks have ended, but it has not checked its lease yet
     for (const auto& [old, t] : other.tasks)
       if (old.first == task && t.end_cause.empty() && concurrent_runs++ == 0)
         first_concurrent_run = task + "@" + std::to_string(attempt) + " on " + w.id + ", " +
--- a/tests/engine.h
+++ b/tests/engine.h
@@ -1,5 +1,4 @@
-// Simulated time for whole nodes in one process: events in order, and a node's loop that can crash or stand
-// still.
+// Simulated time: a discrete-event engine, and a node's event loop on it that can be crashed or frozen.
 #pragma once
 #include <algorithm>
 #include <functional>
@@ -11,13 +10,16 @@
 
 namespace aspenwick::testing {
 
-/// Events in the order of their times; those of a node that has crashed are left out.
+/// Runs events in the order of their times; events with equal times run in the order in which they were
+/// added.
 class SimulationEngine {
  public:
   Micros now = 1000 * kSecond;
+  /// Calls `callback` once `delay` from now has passed; a negative delay counts as 0.
   void at(Micros delay, std::function<void()> callback) {
     events_.emplace(std::pair{now + std::max<Micros>(0, delay), ++count_}, std::move(callback));
   }
+  /// Runs all events that are due within `span`, and moves `now` to its end.
   void run_for(Micros span) {
     const Micros until = now + span;
     while (!events_.empty() && events_.begin()->first.first <= until) {
@@ -33,6 +35,7 @@
   std::uint64_t count_ = 0;
 };
 
+/// The event loop of one node process. Callbacks of a crashed process are never called.
 class SimulatedLoop : public net::Loop {
  public:
   explicit SimulatedLoop(SimulationEngine& engine) : engine_(engine) {}
@@ -53,16 +56,16 @@
     });
   }
   void crash() { *alive_ = false; }
-  /// All that would happen until then happens then, one thing after the other.
+  /// Postpones all callbacks due within `span` to its end, where they run one after the other.
   void freeze(Micros span) {
     frozen_until_ = engine_.now + span;
     delayed_callbacks_ = 0;
   }
+  /// 0: not frozen.
   Micros remaining_freeze() const { return std::max<Micros>(0, frozen_until_ - engine_.now); }
 
  private:
-  static constexpr Micros kBacklogCallbackTime =
-      kMillisecond / 4;  // what a node takes for each thing that has waited
+  static constexpr Micros kBacklogCallbackTime = kMillisecond / 4;  // between postponed callbacks
   SimulationEngine& engine_;
   Micros frozen_until_ = 0, delayed_callbacks_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/tests/fake_state_service.h
+++ b/tests/fake_state_service.h
@@ -1,5 +1,5 @@
-// The state service of the small world, by the protocol: guarded transactions, leases, watches, lists in
-// pages.
+// An in-memory state service for simulations that implements the protocol: guarded transactions, leases,
+// watches and paged lists.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,19 +17,20 @@
 
 using wire::Json;
 
-/// The state service: keys with stamps, leases, watches.
+/// Keys with the revision of their last change, which the protocol calls stamp, and with optional leases.
 class FakeStateService {
  public:
   using ResponseCallback = std::function<void(int, const std::string&)>;
   explicit FakeStateService(SimulationEngine& engine) : engine_(engine) { expire_leases(); }
-  /// `waits`: an open watch is told nothing while it says so, as when the service is down or refuses a node.
+  /// Executes a request. Reads of changes are not answered while `stalled` returns true, for instance because
+  /// the service is down or refuses the node. Faults other than this one are the caller's.
   void request(
       net::Method method, const std::string& path, const std::string& body, const ResponseCallback& respond,
       const std::function<bool()>& stalled = [] { return false; });
 
-  /// Whoever follows from before now gets 410.
+  /// Drops the change log: watches that begin at an earlier revision get status 410.
   void compact_changes() { log_.clear(), log_revisions_.clear(), oldest_revision_ = revision_; }
-  /// As somebody else's requests would.
+  /// Creates a lease, or sets a key, as a request of another client would.
   std::uint64_t grant_lease(Micros ttl) {
     leases_[++next_lease_] = {ttl, engine_.now + ttl};
     return next_lease_;
@@ -44,11 +45,12 @@
     std::uint64_t mod_revision = 0, lease = 0;
   };
   std::map<std::string, Entry> keys;
+  /// Called after each write of a key, except deletions.
   std::function<void(const std::string& key)> on_key_set = [](const std::string&) {};
-  int leased_keys_removed = 0;
-  bool unavailable = false;      // nothing is executed, and leases have their full time again afterwards
-  std::size_t page_size = 1000;  // at most, of a list of keys
-  Micros page_latency = 0;       // until a page is answered, as it is by then
+  int leased_keys_removed = 0;   // because their lease ended
+  bool unavailable = false;      // callers execute nothing; leases have their full TTL again afterwards
+  std::size_t page_size = 1000;  // rows in a page of a list, at most
+  Micros page_latency = 0;       // the page shows the keys at the end of this time
 
  private:
   void commit(const Json& transaction, const ResponseCallback& respond);
@@ -65,11 +67,11 @@
   SimulationEngine& engine_;
   std::uint64_t revision_ = 1, next_lease_ = 7, oldest_revision_ = 0;
   std::map<std::uint64_t, Lease> leases_;
-  std::vector<std::pair<std::string, std::optional<Entry>>> log_;  // with the stamp of each change
-  std::vector<std::uint64_t> log_revisions_;
+  std::vector<std::pair<std::string, std::optional<Entry>>> log_;  // no value: deleted
+  std::vector<std::uint64_t> log_revisions_;                       // of each entry of log_
 };
 
-/// The value of a parameter of a request's path; empty: it isn't there.
+/// The value of a query parameter of a request's path; empty if it is missing.
 std::string query_parameter(const std::string& path, const std::string& name);
 
 }  // namespace aspenwick::testing
--- a/tests/simulated_users.cpp
+++ b/tests/simulated_users.cpp
@@ -49,8 +49,9 @@
       submit_with_retries(id, 1);
   }
   if (const auto node = random_running_node(); with_probability(0.05) && !node.empty())
-    sim_.send(node, Method::get, "/v1/jobs/j-999999", {},
-              [](const Response& response) { EXPECT_NE(response.status, 200) << "invented"; });
+    sim_.send(node, Method::get, "/v1/jobs/j-999999", {}, [](const Response& response) {
+      EXPECT_NE(response.status, 200) << "a job that nobody submitted";
+    });
 }
 
 Json SimulatedUsers::random_new_job() {
@@ -77,7 +78,7 @@
   submit_with_retries(id, 8);
 }
 
-/// A user repeats it, anywhere, a second or two later.
+/// Repeats a submission 1 to 2 s later at a random node until the job is accepted.
 void SimulatedUsers::submit_with_retries(const std::string& id, int attempts_left) {
   if (attempts_left == 0) return;
   const auto node = random_running_node();
@@ -187,10 +188,11 @@
   if (!first) return;
   sim_.open_jobs.erase(request.id);
   if (status == "withdrawn") {
-    EXPECT_TRUE(may_be_cancelled(request.id)) << request.id << " was never cancelled";
+    EXPECT_TRUE(may_be_cancelled(request.id)) << request.id << " was withdrawn but never cancelled";
     sim_.cancelled.emplace(request.id, sim_.engine.now);
   } else {
-    EXPECT_TRUE(all_completed(request.id)) << request.id << " said to be done";
+    EXPECT_TRUE(all_completed(request.id))
+        << request.id << " was reported as done before all of its tasks completed";
   }
   on_status_learned(request.id);
 }
@@ -199,7 +201,8 @@
   if (with_probability(recheck_rate)) recheck_on_all_nodes(id);
 }
 
-/// At all nodes, again and again within milliseconds; the submission repeated, some cancel at once.
+/// Within 8 ms and at all running nodes: polls the job, repeats its submission, and polls or (10 %) cancels
+/// it.
 void SimulatedUsers::recheck_on_all_nodes(const std::string& id) {
   for (const auto& node : kNodeNames)
     for (int i = 0; i < 3; ++i)
@@ -229,14 +232,14 @@
     for (const auto& [node, id] : open()) poll(id, node);
     sim_.engine.run_for(kSecond);
   }
-  for (const auto& [node, id] : open()) ADD_FAILURE() << id << " isn't known to " << node;
+  for (const auto& [node, id] : open()) ADD_FAILURE() << id << " is not answered for by node " << node;
   for (int i = 0; i < 1200 && final_statuses_.size() < accepted_.size(); ++i) {
     for (const auto& id : accepted_)
       if (!final_statuses_.contains(id)) poll(id);
     sim_.engine.run_for(kSecond);
   }
-  for (const auto& id : accepted_) EXPECT_TRUE(final_statuses_.contains(id)) << id << " not over";
-  EXPECT_EQ(sim_.starved_job, "") << "waited beside room";
+  for (const auto& id : accepted_) EXPECT_TRUE(final_statuses_.contains(id)) << id << " has no final status";
+  EXPECT_EQ(sim_.starved_job, "") << "a job waited beside free capacity";
 }
 
 }  // namespace aspenwick::testing
--- a/tests/simulated_users.h
+++ b/tests/simulated_users.h
@@ -1,6 +1,6 @@
-// Users of the small world, who submit, ask, repeat and cancel at every node, and the judge of what they are
-// told: nothing older than what any node has told before the question was sent, nothing invented, nothing
-// accepted that can't run.
+// Simulated users who submit, poll, resubmit and cancel jobs at every node, and check the responses: none may
+// contradict a final status that any node returned before the request was sent, no job may exist that nobody
+// submitted, and no job may be accepted that can't run.
 #pragma once
 #include <map>
 #include <optional>
@@ -14,36 +14,40 @@
 
 inline const std::vector<std::string> kNodeNames{"a", "b", "c"};
 
+/// Draws from the simulation's random generator. Reports failures through GoogleTest.
 class SimulatedUsers {
  public:
   explicit SimulatedUsers(ClusterSimulation& sim);
   SimulatedUsers(const SimulatedUsers&) = delete;
   SimulatedUsers& operator=(const SimulatedUsers&) = delete;
 
-  /// What they do in a second.
+  /// Sends the requests of one second; the caller advances the simulation.
   void act_for_one_second();
-  /// So many jobs that have long to go are called off at once; `hang`: some of their machines stand still.
+  /// Cancels up to `count` random unfinished jobs within 200 ms; `hang`: and hangs a random machine for each.
   void cancel_burst(int count, bool hang);
+  /// Repeated up to 8 times, at random nodes, until the job is accepted.
   void submit(Json job);
+  /// Repeated every second while the response is an error that permits a retry (429 or above). No node given:
+  /// a random running one.
   void cancel(const std::string& id, const std::string& node = {});
   void poll(const std::string& id, const std::string& node = {});
-  /// A submission that no node may accept.
+  /// Sends a random submission that no node may accept.
   void submit_invalid();
 
-  /// All troubles are over: whichever node is asked, within 75 s it answers; no job waits beside room; in the
-  /// end all are over.
+  /// To be called once all faults have ended. Expects that every node answers for every accepted job within
+  /// 75 s, that no job waits too long beside free capacity, and that all jobs end within 20 min.
   void expect_all_jobs_end();
 
-  double recheck_rate = 0;               // part of news after which all nodes are asked within milliseconds
-  double cancel_on_completion_rate = 0;  // part of jobs called off as their last task completes
-  double invalid_request_rate = 0;       // a second
+  double recheck_rate = 0;               // of new statuses, after which all nodes are asked within 8 ms
+  double cancel_on_completion_rate = 0;  // of jobs, cancelled as their last task completes
+  double invalid_request_rate = 0;       // per second
   int max_jobs = 30;
 
  private:
   struct PendingRequest {
     std::string id;
-    bool accepted;                                  // when it was asked
-    std::optional<std::string> known_final_status;  // the same
+    bool accepted;                                  // when the request was sent
+    std::optional<std::string> known_final_status;  // when the request was sent; empty: none
     bool submission;
   };
   bool with_probability(double probability) {
@@ -65,9 +69,9 @@
   ClusterSimulation& sim_;
   int submitted_ = 0, invalid_submitted_ = 0;
   std::set<std::string> accepted_, cancel_requested_;
-  std::map<std::string, std::string> final_statuses_;  // what was told to be over
-  std::set<std::pair<std::string, std::string>>
-      nodes_that_answered_;  // node and job, since it was last cleared
+  std::map<std::string, std::string>
+      final_statuses_;  // by job: done or withdrawn, as a node first returned it
+  std::set<std::pair<std::string, std::string>> nodes_that_answered_;  // (node, job), since the last clear()
 };
 
 }  // namespace aspenwick::testing
