--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,5 +1,5 @@
-// Two troubles at once, which is when rules were seen broken: directed meetings. Pairs drawn at random are in
-// pairs_test.cpp.
+// Directed tests of faults that coincide, since invariants were seen broken when two faults met. Random pairs
+// of faults are in fault_pairs_test.cpp.
 #include "simulated_users.h"
 
 namespace aspenwick::testing {
@@ -9,8 +9,8 @@
 
 struct FaultCombinationTest : NodeTest {};
 
-// A request to give a share back that got lost, unanswered: its owner neither started anything of it nor
-// answered its workers, and went on renewing its key.
+// The commit that hands a share back is lost without a response. The owner then neither started tasks of the
+// share nor answered its workers, but went on renewing its holder key.
 TEST_F(FaultCombinationTest, ALostHandBackLeavesNoShareWithoutAHolder) {
   ClusterSimulation sim;
   sim.engine.run_for(20 * kSecond);
@@ -26,7 +26,8 @@
   EXPECT_EQ(sim.store.keys.at("s/holder/1").value.at("node"), "b");
 }
 
-// A move of a machine that got lost, unanswered: it was used by nobody, and never given back.
+// The commit that moves a machine to another share is lost without a response. The machine was then used by
+// nobody and never returned to the cloud.
 TEST_F(FaultCombinationTest, ALostMachineMoveLeavesNoMachineWithoutAnOwner) {
   ClusterSimulation sim;
   sim.engine.run_for(20 * kSecond);
@@ -42,9 +43,9 @@
   EXPECT_TRUE(sim.machines().empty());
 }
 
-// The state service answers slowly: what it had renewed counted as not renewed, since the answer came after
-// we had given it up, and nothing was started by anybody.
-TEST_F(FaultCombinationTest, WorkStartsWhileTheStateServiceAnswersSlowly) {
+// The state service responds slowly. Renewals that it had executed counted as failed, since their responses
+// arrived after the request's deadline, and no node started anything.
+TEST_F(FaultCombinationTest, TasksStartWhileTheStateServiceRespondsSlowly) {
   ClusterSimulation sim;
   sim.run_time = 5 * kSecond;
   sim.engine.run_for(20 * kSecond);
@@ -56,10 +57,10 @@
   EXPECT_EQ(sim.store.leased_keys_removed, 0);
 }
 
-// Whatever is carried out a second time, later, changes nothing: shares taken, handed back and held on under
-// higher epochs, machines that came, moved and went, results, ends, cancellations. Left alone: rows that
-// nothing reads any more, made anew (results of a job that is over, a machine that the cloud has deleted),
-// and deletions of what is gone already.
+// A commit that is executed again later must fail its guards: shares taken, handed back or kept under a
+// higher epoch, machines that join, move or leave, results, ends of jobs, cancellations. Allowed are keys
+// written again that nothing reads any more (results of a finished job, a machine that the cloud has
+// deleted), and deletions of keys that don't exist.
 TEST_F(FaultCombinationTest, ATransactionRepeatedLaterChangesNothing) {
   app::OperatorSettings settings;
   settings.attempts_per_epoch = 30;
@@ -67,14 +68,14 @@
   sim.run_time = 20 * kSecond;
   sim.run_time_spread = 20 * kSecond;
   sim.engine.run_for(20 * kSecond);
-  auto again = [&] {
+  auto repeat_commits = [&] {
     for (const auto& body : std::vector(sim.sent_commits)) {
-      const Json asked = Json::parse(body);
+      const Json transaction = Json::parse(body);
       const auto before = sim.store.keys;
       int status = 0;
       sim.store.request(Method::post, "/commit", body, [&](int code, const std::string&) { status = code; });
       if (status != 200) continue;
-      for (const auto& change : asked.at("writes")) {
+      for (const auto& change : transaction.at("writes")) {
         const auto key = change.at(change.contains("delete") ? "delete" : "set").get<std::string>();
         if (change.contains("delete")) {
           EXPECT_FALSE(before.contains(key)) << body;
@@ -86,8 +87,8 @@
           EXPECT_NE(before.at("s/job/" + job.substr(0, job.find('/'))).value.at("st"), "queued") << body;
         } else {
           ASSERT_TRUE(key.starts_with("s/machine/")) << body;
-          const auto there = sim.machines();
-          EXPECT_EQ(std::count(there.begin(), there.end(), key.substr(10)), 0) << body;
+          const auto machines = sim.machines();
+          EXPECT_EQ(std::count(machines.begin(), machines.end(), key.substr(10)), 0) << body;
         }
       }
     }
@@ -102,13 +103,13 @@
     sim.engine.run_for(25 * kSecond);
     EXPECT_EQ(sim.call("c", Method::post, "/v1/jobs/j-" + std::to_string(jobs) + "/withdraw").status, 200);
     sim.engine.run_for(2 * kSecond);
-    again();
+    repeat_commits();
     const std::string node = jobs % 2 == 0 ? "a" : "b";
     sim.crash(node);
     sim.engine.run_for(12 * kSecond);
     sim.start(node);
     sim.engine.run_for(15 * kSecond);
-    again();
+    repeat_commits();
   }
   EXPECT_GT(sim.sent_commits.size(), 100U);
   for (int i = 1; i <= jobs; ++i) {
@@ -120,8 +121,8 @@
   EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
 }
 
-// A leader cut off from the state service and the other controllers, not from its workers and users: jobs are
-// cancelled through the one that takes over.
+// The leader is cut off from the state service and the other nodes, but not from its workers and users. Jobs
+// are cancelled through the node that takes over.
 TEST_F(FaultCombinationTest, ALeaderCutOffWithItsWorkersStopsJobsCancelledElsewhere) {
   ClusterSimulation sim;
   sim.run_time = 3600 * kSecond;
@@ -134,7 +135,7 @@
   sim.engine.run_for(20 * kSecond);
   sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {"a"};
   sim.engine.run_for(kSecond);
-  // Its user comes again until the owner's time to start tasks without knowing has passed.
+  // The user repeats the cancellation until the former owner can no longer start tasks without knowing of it.
   for (int i = 0; i < 10 && !sim.cancelled.contains("j-1"); ++i) {
     if (sim.call("c", Method::post, "/v1/jobs/j-1/withdraw").status == 200)
       sim.cancelled.emplace("j-1", sim.engine.now);
@@ -142,11 +143,11 @@
       sim.engine.run_for(kSecond);
   }
   ASSERT_TRUE(sim.cancelled.contains("j-1"));
-  // The cut-off one says nothing older than what another has told.
+  // The node that is cut off must not return an older status than another node has returned.
   for (int i = 0; i < 60; ++i) {
-    const auto told = sim.call("a", Method::get, "/v1/jobs/j-1");
-    if (told.status == 200) {
-      EXPECT_EQ(told.body.at("status"), "withdrawn");
+    const auto response = sim.call("a", Method::get, "/v1/jobs/j-1");
+    if (response.status == 200) {
+      EXPECT_EQ(response.body.at("status"), "withdrawn");
     }
     sim.engine.run_for(kSecond);
   }
@@ -156,11 +157,11 @@
   EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
 }
 
-// ---------------------------------------------------------------- the users' further meetings
+// ---------------------------------------------------------------- with simulated users
 
-/// A world whose users judge all that they are told, and what is to hold in the end.
+/// Simulated users check every response; afterwards all jobs must end and all invariants hold.
 struct FaultCombinationWithUsersTest : FaultCombinationTest {
-  /// Some of each team, at the nodes in turn; the times between are theirs.
+  /// Submits jobs of all three teams in turn, 100 ms apart, at random nodes.
   static void submit_jobs(ClusterSimulation& sim, SimulatedUsers& users, int jobs, int tasks, int from = 1) {
     static const std::vector<std::string> kOwners{"red", "tight", "cards"};
     for (int i = from; i < from + jobs; ++i) {
@@ -188,9 +189,9 @@
   }
 };
 
-// Whoever was told that a job is accepted, done or cancelled asks at every node within milliseconds, repeats
-// the submission, and sometimes cancels: slow answers of the state service, some lost, one node behind its
-// watch.
+// A user who learns that a job is accepted, done or cancelled polls it at every node within milliseconds,
+// repeats the submission, and sometimes cancels. Meanwhile the state service is slow or loses responses, or
+// one node's watch lags.
 TEST_F(FaultCombinationWithUsersTest, ImmediateRechecksReturnNoOlderState) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -209,8 +210,9 @@
   }
 }
 
-// A transaction is executed at once and only its answer is lost, each kind in turn, while the others read
-// what it wrote and users ask everywhere: what its author believes until it learns the truth must do no harm.
+// Commits are executed at once and only their responses are lost, one kind of commit in each run. The other
+// nodes read what was written while users poll at all nodes; the wrong belief of the node that sent the
+// commit must do no harm until it is corrected.
 TEST_F(FaultCombinationWithUsersTest, ALostCommitResponseBreaksNoInvariant) {
   const std::vector<std::pair<const char*, std::string>> kinds{{"accept", R"("guards":[{"path":"s/job/)"},
                                                                {"cancel", R"("st":"withdrawn")"},
@@ -232,8 +234,8 @@
     SimulatedUsers users(sim);
     users.recheck_rate = 0.3;
     int lost = 0;
-    sim.drop_commit_response = [&, part = text](const std::string& body) {
-      return body.find(part) != std::string::npos && (lost == 0 || sim.random() % 3 != 0) && ++lost > 0;
+    sim.drop_commit_response = [&, pattern = text](const std::string& body) {
+      return body.find(pattern) != std::string::npos && (lost == 0 || sim.random() % 3 != 0) && ++lost > 0;
     };
     sim.push_loss_rate = 0.2;
     sim.run_time_spread = 20 * kSecond;
@@ -251,12 +253,13 @@
     EXPECT_GT(lost, 0);
     sim.drop_commit_response = [](const std::string&) { return false; };
     sim.engine.run_for(200 * kSecond);
-    EXPECT_TRUE(sim.machines().empty());  // nobody is left to nobody
+    EXPECT_TRUE(sim.machines().empty());  // no machine is left without an owner
   }
 }
 
-// Every team is at its limit; jobs are cancelled whose machines hang or reach nobody; the leader changes. The
-// room of a cancelled task is free only when it surely ended, for the successor too; then all of it is used.
+// Every team is at its limit. Jobs are cancelled while their machines hang or reach no node, and the leader
+// changes. The capacity of a cancelled task counts as free only once the task has certainly ended, also for
+// the new leader; then all of it is used.
 TEST_F(FaultCombinationWithUsersTest, TeamLimitsHoldWhileCancelledTasksMayStillRunAndTheLeaderChanges) {
   for (int variant = 0; variant < 8; ++variant) {
     SCOPED_TRACE(variant);
@@ -288,8 +291,8 @@
   }
 }
 
-// Cancellations at every moment of a share's change of hands: its owner ends, another takes it, it goes
-// home.
+// Cancellations at every moment of a share's handover: its owner crashes, another node takes it over, and it
+// is handed back to its home node.
 TEST_F(FaultCombinationWithUsersTest, CancellationsDuringAShareHandoverBreakNoInvariant) {
   for (Micros at = 0; at <= 24 * kSecond; at += 800 * kMillisecond) {
     SCOPED_TRACE(to_seconds(at));
@@ -304,7 +307,7 @@
     sim.engine.at(at, [&] {
       for (int i = 1; i <= 9; i += 2) {
         const std::string id = "j-" + std::to_string(i);
-        for (const auto& n : kNodeNames) users.cancel(id, n);  // at all that are up, at once
+        for (const auto& n : kNodeNames) users.cancel(id, n);  // at all running nodes at once
       }
     });
     sim.crash("b");
@@ -315,8 +318,8 @@
   }
 }
 
-// Machines are up in a second or two and get work at once, changes are executed seconds late, the leader
-// ends.
+// Machines report 1 s after their creation and get tasks at once, half of the commits are executed 2 to 12 s
+// late, and the leader crashes.
 TEST_F(FaultCombinationWithUsersTest, FastMachineStartsWithDelayedCommitsAndALeaderCrashBreakNoInvariant) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -342,7 +345,7 @@
   }
 }
 
-// Old reports reach every controller just as a new leader begins; its predecessor may live on, cut off.
+// Copies of old reports reach every node as a new leader begins; the former leader may still run, cut off.
 TEST_F(FaultCombinationWithUsersTest, OldReportsReplayedToANewLeaderBreakNoInvariant) {
   for (unsigned seed = 1; seed <= 16; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -376,7 +379,7 @@
   }
 }
 
-// One-task jobs, four a second for two minutes, a quarter of them cancelled; other work isn't starved.
+// One-task jobs, four a second for two minutes, a quarter of them cancelled, must not starve another job.
 TEST_F(FaultCombinationWithUsersTest, ManySmallJobsWithCancellationsStarveNoOtherJob) {
   ClusterSimulation sim;
   SimulatedUsers users(sim);
@@ -410,7 +413,8 @@
   finish_and_check(sim, users);
 }
 
-// A cancellation, a question or a repeated submission meets the end of the last task, with no other trouble.
+// Cancellations, polls and repeated submissions coincide with the end of a job's last task, without other
+// faults.
 TEST_F(FaultCombinationWithUsersTest, CancellationsAsTheLastTaskEndsBreakNoInvariant) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -426,7 +430,7 @@
   }
 }
 
-// A zone with machines and a controller is cut off for longer than a worker's lease, and jobs are cancelled.
+// A zone with its machines and a node is cut off for longer than a worker's lease, and jobs are cancelled.
 TEST_F(FaultCombinationWithUsersTest, AZonePartitionLongerThanAWorkerLeaseBreaksNoInvariant) {
   for (const auto& node : kNodeNames)
     for (const Micros span : {14 * kSecond, 45 * kSecond}) {
@@ -449,7 +453,7 @@
     }
 }
 
-// All controllers are away for longer than a worker's lease, with jobs just accepted and just cancelled.
+// All nodes are down for longer than a worker's lease, right after jobs were accepted and cancelled.
 TEST_F(FaultCombinationWithUsersTest, AllControllersDownLongerThanAWorkerLeaseBreaksNoInvariant) {
   ClusterSimulation sim;
   SimulatedUsers users(sim);
@@ -466,7 +470,7 @@
   finish_and_check(sim, users);
 }
 
-// Jobs bound to one zone, arrays and gangs, lose machines.
+// Arrays and gangs whose tasks must stay in one zone lose machines.
 TEST_F(FaultCombinationWithUsersTest, JobsBoundToOneZoneSurviveLostMachines) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -490,7 +494,8 @@
   }
 }
 
-// Workers reach no controller, commands reach them; cancelled meanwhile.
+// Workers' reports reach no node while pushes reach the workers; jobs are cancelled meanwhile, and the leader
+// crashes.
 TEST_F(FaultCombinationWithUsersTest, CancellationsWhileReportsAreLostBreakNoInvariant) {
   for (const Micros span : {8 * kSecond, 20 * kSecond, 60 * kSecond}) {
     SCOPED_TRACE(to_seconds(span));
@@ -513,8 +518,8 @@
   }
 }
 
-// The leader changes ten times in two minutes; in the second half of them the state service is away for a
-// while.
+// The leader changes ten times in two minutes; in the second run the state service is down during two of the
+// changes.
 TEST_F(FaultCombinationWithUsersTest, TenLeaderChangesInTwoMinutesBreakNoInvariant) {
   for (const bool outage : {false, true}) {
     SCOPED_TRACE(outage);
@@ -542,10 +547,11 @@
   }
 }
 
-// A cancelled task's machine hangs, before or after the user is told, and goes on within its lease.
+// The machine of a cancelled task hangs, from before or after the cancellation, and goes on within its lease
+// or after it.
 TEST_F(FaultCombinationWithUsersTest, ACancelledTaskOnAHungMachineStopsWithinTheCancellationTime) {
   for (const Micros hang : {4 * kSecond, 9 * kSecond, 11 * kSecond, 30 * kSecond})
-    for (const bool before : {true, false})
+    for (const bool hangs_before_cancellation : {true, false})
       for (const bool leader_crashes : {true, false}) {
         SCOPED_TRACE(to_seconds(hang));
         ClusterSimulation sim;
@@ -557,12 +563,12 @@
         sim.engine.run_for(30 * kSecond);
         const auto on = sim.machines_running("j-1");
         ASSERT_FALSE(on.empty());
-        auto stop = [&] {
+        auto hang_machines = [&] {
           for (const auto& m : on) sim.hang(m, hang);
         };
-        if (before) stop(), sim.engine.run_for(kSecond);
+        if (hangs_before_cancellation) hang_machines(), sim.engine.run_for(kSecond);
         users.cancel("j-1");
-        if (!before) stop();
+        if (!hangs_before_cancellation) hang_machines();
         sim.engine.run_for(500 * kMillisecond);
         const auto first = leader(sim);
         if (leader_crashes) sim.crash(first);
@@ -574,7 +580,8 @@
       }
 }
 
-// More work than room, urgent and not, over a slow state service and lost pushes; some is cancelled.
+// More jobs of all ranks than the cloud has capacity for, with a slow state service, lost reports and lost
+// pushes; some jobs are cancelled.
 TEST_F(FaultCombinationWithUsersTest, OverloadWithSlowStateServiceAndLostPushesBreaksNoInvariant) {
   ClusterSimulation sim;
   sim.max_machines = 6;
@@ -596,11 +603,11 @@
   finish_and_check(sim, users);
 }
 
-// What users saw: tasks of a job started for up to 5 s after its cancellation had been confirmed. The order
-// of events: the owner of its share is cut off from the state service and its peers; another node commits the
-// cancellation and tells the user; the owner goes on starting what waits until its lease ends. The cause: the
-// node that confirmed knew that it had committed, not that the owner had stopped. The evidence: each late
-// start was the cut-off owner's.
+// Tasks of a job started for up to 5 s after its cancellation had been confirmed: the owner of the share is
+// cut off from the state service and its peers; another node commits the cancellation and confirms it; the
+// owner goes on starting waiting tasks until its lease ends. The confirming node knew that its commit had
+// succeeded, but not that the owner had stopped. All of the late starts were ordered by the owner that was
+// cut off.
 TEST_F(FaultCombinationWithUsersTest, NoTaskStartsAfterTheCancellationIsConfirmed) {
   ClusterSimulation sim;
   SimulatedUsers users(sim);
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -1,5 +1,5 @@
-// Pairs of troubles drawn at random that overlap, while users submit, cancel and ask throughout, at every
-// node. The judge goes by what users were told and what ran.
+// Random pairs of overlapping faults while simulated users submit, cancel and poll jobs at every node. The
+// checks use only the responses that users got and what ran on the machines.
 #include <cstdio>
 #include <cstdlib>
 
@@ -26,24 +26,24 @@
   auto crash = [](ClusterSimulation& sim, const std::string& n) {
     if (sim.is_running(n)) sim.crash(n);
   };
-  auto all_back = [](ClusterSimulation& sim, SimulatedUsers&) { start_all(sim); };
+  auto restart_all = [](ClusterSimulation& sim, SimulatedUsers&) { start_all(sim); };
   return {
-      {"a node ends", [=](ClusterSimulation& sim, SimulatedUsers&) { crash(sim, random_node(sim)); },
-       all_back},
-      {"all end",
+      {"a node crashes", [=](ClusterSimulation& sim, SimulatedUsers&) { crash(sim, random_node(sim)); },
+       restart_all},
+      {"all nodes crash",
        [=](ClusterSimulation& sim, SimulatedUsers&) {
          for (const auto& n : kNodeNames) crash(sim, n);
          sim.engine.run_for(static_cast<Micros>(sim.random() % 500) * kMillisecond);
          sim.start(random_node(sim));
        },
-       all_back},
-      {"a node stands still",
+       restart_all},
+      {"a node freezes",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          if (const auto n = random_node(sim); sim.is_running(n))
            sim.freeze(n, static_cast<Micros>(sim.random() % 20) * kSecond);
        },
        [](ClusterSimulation&, SimulatedUsers&) {}},
-      {"a node stands still while the state service is in and out",
+      {"a node freezes while the state service flaps",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          const auto n = random_node(sim);
          const Micros span = static_cast<Micros>(10 + sim.random() % 110) * kSecond;
@@ -52,12 +52,12 @@
          sim.flap_state_service(span);
        },
        [](ClusterSimulation&, SimulatedUsers&) {}},
-      {"an open watch is told nothing",
+      {"a node's long polls stall",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.nodes_with_stalled_long_polls = {random_node(sim)};
        },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.nodes_with_stalled_long_polls.clear(); }},
-      {"all keys are read again, slowly",
+      {"a node's watch stalls, then it reads all keys again in slow pages",
        [](ClusterSimulation& sim, SimulatedUsers& users) {
          sim.nodes_with_stalled_watches = {random_node(sim)};
          for (int s = 0; s < 2; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
@@ -69,24 +69,24 @@
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.store.page_size = 1000, sim.store.page_latency = 0;
        }},
-      {"outage", [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_service_down = true; },
+      {"state service outage", [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_service_down = true; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_service_down = false; }},
-      {"refused alone",
+      {"the state service refuses a node",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.nodes_refused_by_state_service = {random_node(sim)};
        },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.nodes_refused_by_state_service.clear(); }},
-      {"cut from its peers",
+      {"a node is cut off from its peers",
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.nodes_cut_off_from_peers = {random_node(sim)}; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.nodes_cut_off_from_peers.clear(); }},
-      {"cut from state and peers",
+      {"a node is cut off from the state service and its peers",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {random_node(sim)};
        },
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
        }},
-      {"a node cut off with workers that only reach it, whose successors end and are back at once",
+      {"a node is cut off with workers that reach only it, and the other nodes restart",
        [=](ClusterSimulation& sim, SimulatedUsers&) {
          const std::string cut = random_node(sim);
          for (const auto& machine : sim.machines())
@@ -103,7 +103,7 @@
          sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
          sim.only_reachable_node.clear();
        }},
-      {"reports that answers to pushes overtake, then machines stand still",
+      {"responses to pushes overtake reports, then machines hang",
        [](ClusterSimulation& sim, SimulatedUsers& users) {
          sim.report_latency = static_cast<Micros>(100 + sim.random() % 900) * kMillisecond;
          for (int s = 0; s < 8; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
@@ -111,32 +111,33 @@
            sim.hang_random_machine(static_cast<Micros>(8 + sim.random() % 20) * kSecond);
        },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.report_latency = 0; }},
-      {"late changes",
+      {"delayed commits",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.commit_delay_rate = 0.3, sim.commit_delay_range = {2 * kSecond, 12 * kSecond};
        },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.commit_delay_rate = 0; }},
-      {"changes that never arrive",
+      {"lost commits",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.drop_commit = [&sim](const std::string&) { return sim.random() % 4 == 0; };
        },
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.drop_commit = [](const std::string&) { return false; };
        }},
-      {"changes without an answer",
+      {"lost responses of the state service",
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_response_loss_rate = 0.2; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_response_loss_rate = 0; }},
-      {"slow state answers",
+      {"slow state service",
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_service_latency = 4 * kSecond; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.state_service_latency = 0; }},
-      {"late reports", [](ClusterSimulation& sim, SimulatedUsers&) { sim.report_duplicate_rate = 0.5; },
+      {"duplicate late reports",
+       [](ClusterSimulation& sim, SimulatedUsers&) { sim.report_duplicate_rate = 0.5; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.report_duplicate_rate = 0; }},
-      {"late copies of pushes",
+      {"delayed and duplicate pushes",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.push_loss_rate = 0.1, sim.push_duplicate_rate = 0.5, sim.push_delay_rate = 0.2;
        },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.push_duplicate_rate = 0, sim.push_delay_rate = 0; }},
-      {"a machine hears nothing",
+      {"no message reaches a machine",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.block_messages_to_random_machine(static_cast<Micros>(5 + sim.random() % 60) * kSecond);
        },
@@ -146,10 +147,10 @@
          sim.hang_random_machine(static_cast<Micros>(3 + sim.random() % 30) * kSecond);
        },
        [](ClusterSimulation&, SimulatedUsers&) {}},
-      {"frames held",
+      {"held frames",
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.nodes_with_held_frames = {random_node(sim)}; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.release_frames(); }},
-      {"a gap in the changes, and lists of many pages",
+      {"compacted changes and lists of many pages",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.store.compact_changes();
          sim.store.page_size = 3;
@@ -158,18 +159,18 @@
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.store.page_size = 1000, sim.store.page_latency = 0;
        }},
-      {"reports for the next leader",
+      {"reports replayed to the next leader",
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.report_replay_rate = 0.5; },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.report_replay_rate = 0; }},
-      {"a machine is mute",
+      {"a machine's reports are lost",
        [](ClusterSimulation& sim, SimulatedUsers&) {
          sim.block_reports_of_random_machine(static_cast<Micros>(5 + sim.random() % 60) * kSecond);
        },
        [](ClusterSimulation&, SimulatedUsers&) {}},
-      {"a zone is cut off with a node",
+      {"a zone is isolated with a node",
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.isolate_zone("z1", random_node(sim)); },
        [](ClusterSimulation& sim, SimulatedUsers&) { sim.reconnect_zone(); }},
-      {"leaders end, one after the other",
+      {"leaders crash, one after the other",
        [=](ClusterSimulation& sim, SimulatedUsers& users) {
          for (int i = 0; i < 5; ++i) {
            const auto leader = sim.store.keys.find("s/leader");
@@ -178,8 +179,8 @@
            start_all(sim);
          }
        },
-       all_back},
-      {"machines up at once, and an end",
+       restart_all},
+      {"machines boot fast, and a node crashes",
        [=](ClusterSimulation& sim, SimulatedUsers& users) {
          sim.boot_time = kSecond;
          for (int s = 0; s < 5; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
@@ -189,20 +190,22 @@
          sim.boot_time = 5 * kSecond;
          start_all(sim);
        }},
-      {"cancellations in a burst",
+      {"burst of cancellations",
        [](ClusterSimulation&, SimulatedUsers& users) { users.cancel_burst(6, true); },
        [](ClusterSimulation&, SimulatedUsers& users) { users.cancel_burst(6, false); }},
-      {"cancellations at the end",
+      {"cancellations as jobs complete",
        [](ClusterSimulation&, SimulatedUsers& users) { users.cancel_on_completion_rate = 0.5; },
        [](ClusterSimulation&, SimulatedUsers& users) { users.cancel_on_completion_rate = 0; }},
-      {"odd requests", [](ClusterSimulation&, SimulatedUsers& users) { users.invalid_request_rate = 0.7; },
+      {"invalid requests",
+       [](ClusterSimulation&, SimulatedUsers& users) { users.invalid_request_rate = 0.7; },
        [](ClusterSimulation&, SimulatedUsers& users) { users.invalid_request_rate = 0; }},
-      {"close looks", [](ClusterSimulation&, SimulatedUsers& users) { users.recheck_rate = 1; },
+      {"immediate rechecks at all nodes",
+       [](ClusterSimulation&, SimulatedUsers& users) { users.recheck_rate = 1; },
        [](ClusterSimulation&, SimulatedUsers& users) { users.recheck_rate = 0; }},
   };
 }
 
-/// Pairs of troubles, one after the other; the second of each begins while the first lasts.
+/// Applies three random pairs of faults; the second fault of each pair begins while the first lasts.
 void run_fault_pairs(unsigned seed) {
   SCOPED_TRACE("seed " + std::to_string(seed));
   app::OperatorSettings settings;
@@ -214,8 +217,9 @@
   sim.run_time_spread = 60 * kSecond;
   const auto faults = all_faults();
   SimulatedUsers users(sim);
-  // Where all tasks take longer than a job may wait, and the cloud has no more machines, room beside them in
-  // another share can't come in time: nothing of the same rank is stopped for it.
+  // The cloud's capacity is limited only where tasks are short. With tasks that run longer than a job may
+  // wait, capacity in another share couldn't become free in time, since no task of the same rank is stopped
+  // for it.
   if (seed % 4 == 1 && seed % 5 != 0) sim.max_machines = 6 + seed % 5;
   users.recheck_rate = seed % 3 == 0 ? 0.2 : 0;
   sim.engine.run_for(15 * kSecond);
@@ -247,9 +251,10 @@
   users.recheck_rate = 0;
   users.expect_all_jobs_end();
   if (std::getenv("FIGURES"))
-    std::printf("seed %u: longest wait beside room %.1f s, latest start after a cancellation %.3f s (%s)\n",
-                seed, to_seconds(sim.longest_wait), to_seconds(sim.latest_start_after_cancellation),
-                sim.latest_cancelled_start.c_str());
+    std::printf(
+        "seed %u: longest wait beside free capacity %.1f s, latest start after a cancellation %.3f s (%s)\n",
+        seed, to_seconds(sim.longest_wait), to_seconds(sim.latest_start_after_cancellation),
+        sim.latest_cancelled_start.c_str());
   EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
   EXPECT_EQ(sim.ran_after_cancellation, "");
   EXPECT_EQ(sim.placement_violation, "");
@@ -262,9 +267,10 @@
   for (unsigned seed = from; seed <= to; ++seed) run_fault_pairs(seed);
 }
 
-// A job of one zone waits for over 90 s while a machine of another share has room for it: what runs there
-// keeps that machine from being empty, and nothing of the same rank is stopped. Seen in release builds; the
-// build with sanitizers plays another day with this seed, and passes.
+// A job that must run in one zone waits for over 90 s while a machine of another share has free capacity for
+// it: a task that runs there keeps the machine from becoming empty, and no task of the same rank is stopped.
+// Seen in release builds; with this seed the build with sanitizers runs another sequence of events, and
+// passes.
 TEST_F(FaultPairsTest, AJobDoesNotWaitBesideCapacityOfAnotherShareWithSeed1290) { run_fault_pairs(1290); }
 
 }  // namespace
--- a/tests/lagging_results_test.cpp
+++ b/tests/lagging_results_test.cpp
@@ -1,5 +1,6 @@
-// Random days in which rows of results lag while machines are given back and moved, owners end and are back
-// in 50 ms, and watches lag while new jobs start: no task is started again whose result was not lost.
+// Random runs in which writes of results are lost or delayed while machines are returned and moved, nodes
+// crash and restart within 50 ms, and watches lag while new jobs start. No task may start again unless its
+// result was lost.
 #include <cstdio>
 #include <cstdlib>
 
@@ -17,7 +18,7 @@
 }
 
 void submit_random_jobs(ClusterSimulation& sim, int& count) {
-  static const std::vector<std::string> teams{"red", "cards"};  // of two shares
+  static const std::vector<std::string> teams{"red", "cards"};  // of different shares
   for (int i = 0; i < 3; ++i) {
     auto submission = job("j-" + std::to_string(1000 + ++count), 1 + static_cast<int>(sim.random() % 12));
     submission["owner"] = teams[sim.random() % teams.size()];
@@ -27,7 +28,7 @@
   }
 }
 
-/// One to three of the troubles at a time.
+/// Begins each of four faults with its own probability.
 void begin_faults(ClusterSimulation& sim) {
   if (sim.random() % 2 == 0)
     sim.drop_commit = [&sim](const std::string& body) {
@@ -77,7 +78,7 @@
   EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
   for (const auto& [id, submission] : sim.submitted) {
     const auto record = sim.store.keys.find("s/job/" + id);
-    if (record == sim.store.keys.end()) continue;  // never accepted: nobody repeats a submission here
+    if (record == sim.store.keys.end()) continue;  // never accepted: submissions aren't repeated here
     EXPECT_EQ(record->second.value.at("st"), "done") << id;
   }
 }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,4 +1,4 @@
-// Whole nodes without sockets: what users are told, and what survives, when nodes crash or go on for long.
+// Whole nodes in a simulated cluster: responses to users, and what survives crashes, outages and long runs.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -12,7 +12,7 @@
 
 using net::Method;
 
-/// Until `node` says that the job is done; false if it doesn't in five minutes.
+/// Polls the job at `node` every second until it is done; false if it isn't within 5 min.
 bool done_in_time(ClusterSimulation& sim, const std::string& node, const std::string& id) {
   for (int i = 0; i < 300; ++i) {
     if (sim.call(node, Method::get, "/v1/jobs/" + id).body.value("status", "") == "done") return true;
@@ -26,7 +26,8 @@
   sim.engine.run_for(20 * kSecond);
   for (const char* n : {"a", "b", "c"}) EXPECT_EQ(sim.call(n, Method::get, "/ready").status, 200);
   EXPECT_EQ(sim.call("b", Method::post, "/v1/jobs", job("j-000001", 20)).status, 201);
-  EXPECT_EQ(sim.call("c", Method::post, "/v1/jobs", job("j-000001", 20)).status, 200);  // a retry elsewhere
+  EXPECT_EQ(sim.call("c", Method::post, "/v1/jobs", job("j-000001", 20)).status,
+            200);  // retried at another node
   EXPECT_TRUE(done_in_time(sim, "c", "j-000001"));
   EXPECT_EQ(sim.call("a", Method::get, "/v1/jobs/j-000001").body.at("status"), "done");
   EXPECT_EQ(sim.call("a", Method::get, "/v1/jobs/j-000002").status, 404);
@@ -39,7 +40,7 @@
   sim.engine.run_for(20 * kSecond);
   for (int i = 1; i <= 6; ++i)
     EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 12)).status, 201);
-  sim.engine.run_for(15 * kSecond);  // machines have come, tasks run
+  sim.engine.run_for(15 * kSecond);  // machines have joined, tasks run
   EXPECT_FALSE(sim.starts.empty());
   sim.crash("a");
   sim.engine.run_for(4 * kSecond);
@@ -62,14 +63,14 @@
     EXPECT_EQ(sim.call(n, Method::get, "/v1/jobs/j-7").body.at("status"), "withdrawn");
 }
 
-// The world loses all that nodes push to workers, as where only workers can reach nodes: pushed first and
-// fenced each time, tasks went from machine to machine and never started.
+// No push arrives, as where only workers can open connections to nodes. When orders were pushed first and the
+// machine was fenced after each lost push, tasks moved from machine to machine and never started.
 TEST_F(NodeTest, TasksStartThroughReportsWhenPushesNeverArrive) {
   ClusterSimulation sim;
   sim.engine.run_for(20 * kSecond);
   EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-1", 60)).status, 201);
   EXPECT_TRUE(done_in_time(sim, "a", "j-1"));
-  for (int i = 2; i <= 12; ++i) {  // one task at a time, on machines that are there
+  for (int i = 2; i <= 12; ++i) {  // one task at a time, on existing machines
     const std::string id = "j-" + std::to_string(i);
     EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job(id, 1)).status, 201);
     EXPECT_TRUE(done_in_time(sim, "a", id)) << id;
@@ -77,7 +78,8 @@
   EXPECT_EQ(sim.concurrent_runs, 0);
 }
 
-// A share's numbers of attempts end after a million: it goes on under a higher epoch without a takeover.
+// A share has a million attempt numbers per epoch (10 in this test). When they are used up, it raises its
+// epoch without a takeover.
 TEST_F(NodeTest, AShareRaisesItsEpochWithoutATakeover) {
   app::OperatorSettings settings;
   settings.attempts_per_epoch = 10;
@@ -86,21 +88,22 @@
   for (int i = 1; i <= 5; ++i)
     EXPECT_EQ(sim.call("a", Method::post, "/v1/jobs", job("j-" + std::to_string(i), 15)).status, 201);
   for (int i = 1; i <= 5; ++i) EXPECT_TRUE(done_in_time(sim, "b", "j-" + std::to_string(i)));
-  EXPECT_EQ(sim.store.leased_keys_removed, 0);  // no share was ever without an owner
+  EXPECT_EQ(sim.store.leased_keys_removed, 0);  // every share always had an owner
   EXPECT_EQ(sim.starts.size(), 75U);
   for (const auto& [task, n] : sim.starts) EXPECT_EQ(n, 1) << task;
-  EXPECT_EQ(sim.attempts.size(), 75U);  // each number once
+  EXPECT_EQ(sim.attempts.size(), 75U);  // no number was used twice
   std::set<std::uint64_t> epochs;
   for (const auto a : sim.attempts) epochs.insert(a >> place::kEpochShift);
   EXPECT_GT(epochs.size(), 2U);
 }
 
-/// Between random troubles. `quick`: a process that ends is back within 0.3 s, often several times in a row;
-/// what it had sent is held or executed late. `copies`: those too, with machines that hear nothing, late
-/// copies of whatever was sent, and nodes cut off from all but their workers.
+/// The faults of a random run. `slow_restarts`: nodes crash and start at random steps. `fast_restarts`:
+/// crashed nodes are back within 0.3 s, often several times in a row, and what they had sent is held or
+/// executed late. `duplicate_messages`: adds unreachable machines, late duplicates of all messages, and nodes
+/// cut off from all but their workers; half of these runs have fast restarts.
 enum class FaultProfile { slow_restarts, fast_restarts, duplicate_messages };
 
-/// All troubles are over: whichever node is asked about whichever accepted job, within 75 s it answers.
+/// To be called once all faults have ended. Every node must answer for every accepted job within 75 s.
 void expect_answered_by_all_nodes(ClusterSimulation& sim, const std::set<std::string>& accepted) {
   std::set<std::pair<std::string, std::string>> open;
   for (const char* n : {"a", "b", "c"})
@@ -112,15 +115,15 @@
     });
     sim.engine.run_for(kSecond);
   }
-  for (const auto& [node, id] : open) ADD_FAILURE() << id << " isn't known to " << node;
+  for (const auto& [node, id] : open) ADD_FAILURE() << id << " is not answered for by node " << node;
 }
 
-/// Troubles of all kinds at random times, together too. What users were told once stays true, no task runs at
-/// two places, and in the end all jobs are done.
+/// Random faults of all kinds, which may overlap. A final status that a user got must not change, no task may
+/// run on two machines at once, and in the end all jobs have a final status.
 void run_random_faults(unsigned seed, FaultProfile profile = FaultProfile::slow_restarts) {
   SCOPED_TRACE("seed " + std::to_string(seed));
   app::OperatorSettings settings;
-  // Epochs that are raised often refuse copies of old orders by themselves.
+  // Large, since epochs that are raised often would by themselves invalidate duplicates of old orders.
   settings.attempts_per_epoch = profile == FaultProfile::duplicate_messages && seed % 2 == 0 ? 4000 : 40;
   ClusterSimulation sim(settings);
   sim.random.seed(seed);
@@ -180,7 +183,7 @@
         sim.start(n);
     }
     if (fast_restarts && with_probability(0.15)) {
-      const auto which = sim.random() % 8;  // one node, or all
+      const auto which = sim.random() % 8;  // 0-2: that node, 7: all, else none
       for (auto restarts = with_probability(0.2) ? 1 + sim.random() % 60 : 1; restarts > 0; --restarts) {
         for (std::size_t i = 0; i < kNodeNames.size(); ++i)
           if (which >= 3 ? which == 7 : which == i) sim.crash(kNodeNames[i]);
@@ -209,7 +212,7 @@
     if (with_probability(0.05)) sim.hang_random_machine(from_seconds(pick({3, 11, 30})));
     if (duplicate_messages && with_probability(0.1))
       sim.block_messages_to_random_machine(from_seconds(pick({5, 20, 60})));
-    if (duplicate_messages && with_probability(0.05))  // its workers reach it, nobody else does
+    if (duplicate_messages && with_probability(0.05))  // only its workers and users reach it
       sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {kNodeNames[sim.random() % 3]};
     if (!accepted.empty() && with_probability(0.5)) {
       auto it = accepted.begin();
@@ -234,13 +237,13 @@
       if (!final_statuses.contains(id)) poll(id);
     sim.engine.run_for(kSecond);
   }
-  for (const auto& id : accepted) EXPECT_TRUE(final_statuses.contains(id)) << id << " not over";
+  for (const auto& id : accepted) EXPECT_TRUE(final_statuses.contains(id)) << id << " has no final status";
   EXPECT_EQ(sim.concurrent_runs, 0) << sim.first_concurrent_run;
   EXPECT_EQ(sim.ran_after_cancellation, "");
 }
 
 void run_seeds(unsigned to, FaultProfile profile) {
-  const char* seed_range = std::getenv("SEEDS");  // "FROM-TO", to look for more
+  const char* seed_range = std::getenv("SEEDS");  // "FROM-TO": other seeds
   unsigned from = 1;
   if (seed_range) std::sscanf(seed_range, "%u-%u", &from, &to);
   for (unsigned seed = from; seed <= to; ++seed) run_random_faults(seed, profile);
@@ -252,15 +255,15 @@
   run_seeds(6, FaultProfile::duplicate_messages);
 }
 
-// A new leader waits a moment for all shares to be told; where no types are known yet none can be, and the
-// first machines of a fresh fleet came 1.5 s later.
+// A new leader first waits for a short time until all shares have been told of it. While no machine types are
+// known none can be told, and that wait delayed the first machines of a new fleet by 1.5 s.
 TEST_F(NodeTest, TheFirstLeaderAsksForMachineTypesAtOnce) {
   ClusterSimulation sim;
   sim.engine.run_for(kSecond);
   EXPECT_TRUE(sim.store.keys.contains("s/types"));
 }
 
-// The shares of a node that is back at once are not without an owner until its former lease has run out.
+// The shares of a node that restarts at once must not stay without an owner until its former lease runs out.
 TEST_F(NodeTest, ARestartedNodeRevokesItsFormerLeaseFirst) {
   ClusterSimulation sim;
   sim.engine.run_for(20 * kSecond);
@@ -268,14 +271,14 @@
   sim.engine.run_for(100 * kMillisecond);
   sim.start("b");
   const auto former = sim.store.keys.at("s/holder/1").value.at("lease");
-  sim.engine.run_for(kSecond);  // the lease had some four seconds left
+  sim.engine.run_for(kSecond);  // the former lease had about 4 s left
   const auto now = sim.store.keys.find("s/holder/1");
   ASSERT_NE(now, sim.store.keys.end());
   EXPECT_EQ(now->second.value.at("node"), "b");
   EXPECT_NE(now->second.value.at("lease"), former);
 }
 
-// Three nodes, two of them refused by the state service: their shares must not wait for homes that can't take
+// The state service refuses two of three nodes. Their shares must not wait for home nodes that can't take
 // them.
 TEST_F(NodeTest, TheOnlyNodeThatReachesTheStoreTakesOverAllShares) {
   ClusterSimulation sim;
@@ -293,8 +296,9 @@
   EXPECT_EQ(sim.starts, started);  // no worker's lease ran out
 }
 
-// Its users were kept by a node that could tell them nothing until the cut was over.
-TEST_F(NodeTest, ANodeCutOffFromStoreAndPeersIsNotReady) {
+// A node that was cut off stayed ready and kept its users, although it could not answer them until the cut
+// ended.
+TEST_F(NodeTest, ANodeCutOffFromTheStoreAndItsPeersIsNotReady) {
   ClusterSimulation sim;
   sim.engine.run_for(20 * kSecond);
   sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {"a"};
@@ -304,14 +308,15 @@
   sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
   sim.engine.run_for(10 * kSecond);
   EXPECT_EQ(sim.call("a", Method::get, "/ready").status, 200);
-  // Without the state service at all, nobody is better than another.
+  // While the state service is down for all nodes, no node is a better choice than another.
   sim.state_service_down = true;
   sim.engine.run_for(30 * kSecond);
   for (const char* n : {"a", "b", "c"}) EXPECT_EQ(sim.call(n, Method::get, "/ready").status, 200);
 }
 
-// A submission whose text is in rows of its own, and the answer to a copy of its commit says that the job is
-// there already: the rows were dropped as another try's, and no node could read the job again.
+// A submission is stored in rows of its own, and the response to a duplicate of its commit says that the job
+// already exists. The rows were then deleted as those of another attempt, and no node could read the job
+// again.
 TEST_F(NodeTest, ADuplicateOfItsOwnCommitDoesNotLoseAJobStoredInParts) {
   ClusterSimulation sim({}, 1);
   sim.engine.run_for(20 * kSecond);
@@ -335,8 +340,8 @@
   EXPECT_TRUE(done_in_time(sim, "b", "j-900"));
 }
 
-// A commit of the former process puts its lease's key there after the new process has read all keys: nobody
-// could take the share until that lease had run out.
+// A late commit of the former process writes its holder key after the new process has read all keys. Nobody
+// could take the share until the lease of that key had run out.
 TEST_F(NodeTest, ALateHolderKeyOfTheFormerProcessIsReplacedAtOnce) {
   ClusterSimulation sim;
   sim.engine.run_for(20 * kSecond);
@@ -346,7 +351,7 @@
   sim.engine.run_for(kSecond);
   ASSERT_EQ(sim.store.keys.at("s/holder/0").value.at("node"), "a");
   ASSERT_NE(sim.store.keys.at("s/holder/0").value.at("lease"), key.value.at("lease"));
-  const auto grant = sim.store.grant_lease(5 * kSecond);  // as the former process had it, not yet over
+  const auto grant = sim.store.grant_lease(5 * kSecond);  // like the former process's, not expired yet
   auto late = key.value;
   late["lease"] = grant;
   sim.store.set_key("s/holder/0", late, grant);
--- a/tests/simulated_users.cpp
+++ b/tests/simulated_users.cpp
@@ -78,7 +78,8 @@
   submit_with_retries(id, 8);
 }
 
-/// Repeats a submission 1 to 2 s later at a random node until the job is accepted.
+/// Submits the job at a random node, and again 1 to 2 s later if no node runs or the response is 429 or
+/// above.
 void SimulatedUsers::submit_with_retries(const std::string& id, int attempts_left) {
   if (attempts_left == 0) return;
   const auto node = random_running_node();
--- a/tests/simulated_users.h
+++ b/tests/simulated_users.h
@@ -25,7 +25,7 @@
   void act_for_one_second();
   /// Cancels up to `count` random unfinished jobs within 200 ms; `hang`: and hangs a random machine for each.
   void cancel_burst(int count, bool hang);
-  /// Repeated up to 8 times, at random nodes, until the job is accepted.
+  /// Sent up to 8 times, at random nodes, while no node runs or the response is 429 or above.
   void submit(Json job);
   /// Repeated every second while the response is an error that permits a retry (429 or above). No node given:
   /// a random running one.
