--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -9,7 +9,7 @@
 namespace aspenwick::testing {
 namespace {
 constexpr Micros kNetworkLatency = 2 * kMillisecond;
-constexpr Micros kReportTimeout = 4 * kSecond;  // a worker's, for a node's response to a report
+constexpr Micros kReportTimeout = 4 * kSecond;  // how long a worker waits for a response
 
 }  // namespace
 
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -242,8 +242,8 @@
     sim.engine.run_for(20 * kSecond);
     submit_jobs(sim, users, 9, 4);
     for (int s = 0; s < 25; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
-    const auto first = leader(sim);
-    sim.crash(first.empty() ? "b" : first);
+    const auto first_leader = leader(sim);
+    sim.crash(first_leader.empty() ? "b" : first_leader);
     for (int s = 0; s < 12; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
     for (const auto& n : kNodeNames)
       if (!sim.is_running(n)) sim.start(n);
@@ -279,13 +279,13 @@
         else
           sim.hang(m, 10 * kSecond);
     }
-    const auto first = leader(sim);
-    if (variant & 4) sim.crash(first);
+    const auto first_leader = leader(sim);
+    if (variant & 4) sim.crash(first_leader);
     for (const auto& id : cancelled) users.cancel(id);
     sim.engine.run_for(300 * kMillisecond);
-    if (!(variant & 4)) sim.crash(first);
+    if (!(variant & 4)) sim.crash(first_leader);
     sim.engine.run_for(10 * kSecond);
-    sim.start(first);
+    sim.start(first_leader);
     sim.engine.run_for(60 * kSecond);
     finish_and_check(sim, users);
   }
@@ -332,8 +332,8 @@
     sim.commit_delay_rate = 0.5, sim.commit_delay_range = {2 * kSecond, 12 * kSecond};
     submit_jobs(sim, users, 6, 8);
     sim.engine.run_for(static_cast<Micros>(seed) * 700 * kMillisecond);
-    const auto first = leader(sim);
-    if (!first.empty()) sim.crash(first);
+    const auto first_leader = leader(sim);
+    if (!first_leader.empty()) sim.crash(first_leader);
     sim.engine.run_for(7 * kSecond);
     for (const auto& n : kNodeNames)
       if (!sim.is_running(n)) sim.start(n);
@@ -357,21 +357,21 @@
     sim.engine.run_for(20 * kSecond);
     submit_jobs(sim, users, 9, 6);
     sim.engine.run_for(25 * kSecond);
-    const auto first = leader(sim);
-    ASSERT_FALSE(first.empty());
+    const auto first_leader = leader(sim);
+    ASSERT_FALSE(first_leader.empty());
     sim.report_replay_rate = 1;
     if (seed % 4 < 2) {
-      for (const auto& m : sim.machines()) sim.only_reachable_node[m] = first;
+      for (const auto& m : sim.machines()) sim.only_reachable_node[m] = first_leader;
       sim.engine.run_for(3 * kSecond);
-      sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {first};
+      sim.nodes_refused_by_state_service = sim.nodes_cut_off_from_peers = {first_leader};
       sim.engine.run_for(25 * kSecond);
       sim.only_reachable_node.clear();
       sim.nodes_refused_by_state_service.clear(), sim.nodes_cut_off_from_peers.clear();
     } else {
       sim.engine.run_for(3 * kSecond);
-      sim.crash(first);
+      sim.crash(first_leader);
       sim.engine.run_for(static_cast<Micros>(seed) * 400 * kMillisecond);
-      sim.start(first);
+      sim.start(first_leader);
     }
     sim.engine.run_for(20 * kSecond);
     sim.report_replay_rate = 0;
@@ -404,12 +404,12 @@
   }
   sim.engine.run_for(30 * kSecond);
   for (int i = 0; i < 6; ++i) EXPECT_TRUE(sim.completed.contains("j-900/" + std::to_string(i))) << i;
-  int over = 0;
+  int ended_jobs = 0;
   for (int i = 1; i <= 480; ++i) {
     const std::string id = "j-" + std::to_string(i);
-    over += sim.completed.contains(id + "/0") || sim.cancelled.contains(id);
+    ended_jobs += sim.completed.contains(id + "/0") || sim.cancelled.contains(id);
   }
-  EXPECT_EQ(over, 480);
+  EXPECT_EQ(ended_jobs, 480);
   finish_and_check(sim, users);
 }
 
@@ -530,7 +530,7 @@
     sim.engine.run_for(20 * kSecond);
     submit_jobs(sim, users, 9, 5);
     sim.engine.run_for(10 * kSecond);
-    std::set<std::string> led;
+    std::set<std::string> leaders;
     for (int change = 0; change < 10; ++change) {
       sim.state_service_down = outage && change % 5 == 3;
       const auto now = leader(sim);
@@ -540,9 +540,9 @@
       for (const auto& n : kNodeNames)
         if (!sim.is_running(n)) sim.start(n);
       for (int s = 0; s < 6; ++s) users.act_for_one_second(), sim.engine.run_for(kSecond);
-      led.insert(leader(sim));
+      leaders.insert(leader(sim));
     }
-    EXPECT_GT(led.size(), 1U);
+    EXPECT_GT(leaders.size(), 1U);
     finish_and_check(sim, users);
   }
 }
@@ -561,19 +561,19 @@
         sim.engine.run_for(20 * kSecond);
         submit_jobs(sim, users, 6, 4);
         sim.engine.run_for(30 * kSecond);
-        const auto on = sim.machines_running("j-1");
-        ASSERT_FALSE(on.empty());
+        const auto job_machines = sim.machines_running("j-1");
+        ASSERT_FALSE(job_machines.empty());
         auto hang_machines = [&] {
-          for (const auto& m : on) sim.hang(m, hang);
+          for (const auto& m : job_machines) sim.hang(m, hang);
         };
         if (hangs_before_cancellation) hang_machines(), sim.engine.run_for(kSecond);
         users.cancel("j-1");
         if (!hangs_before_cancellation) hang_machines();
         sim.engine.run_for(500 * kMillisecond);
-        const auto first = leader(sim);
-        if (leader_crashes) sim.crash(first);
+        const auto first_leader = leader(sim);
+        if (leader_crashes) sim.crash(first_leader);
         sim.engine.run_for(15 * kSecond);
-        if (leader_crashes) sim.start(first);
+        if (leader_crashes) sim.start(first_leader);
         sim.engine.run_for(60 * kSecond);
         EXPECT_TRUE(sim.machines_running("j-1").empty());
         finish_and_check(sim, users);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -156,10 +156,10 @@
   auto poll = [&](const std::string& id) {
     const auto node = random_running_node();
     if (node.empty()) return;
-    const auto a = sim.call(node, Method::get, "/v1/jobs/" + id);
-    EXPECT_NE(a.status, 404) << id;
-    if (a.status != 200) return;
-    const auto status = a.body.at("status").get<std::string>();
+    const auto response = sim.call(node, Method::get, "/v1/jobs/" + id);
+    EXPECT_NE(response.status, 404) << id;
+    if (response.status != 200) return;
+    const auto status = response.body.at("status").get<std::string>();
     if (auto it = final_statuses.find(id); it != final_statuses.end())
       EXPECT_EQ(status, it->second) << id;
     else if (status == "done" || status == "withdrawn")
@@ -170,9 +170,9 @@
     if (with_probability(0.2) && submitted < 12) {
       const std::string id = "j-" + std::to_string(++submitted);
       if (const auto node = random_running_node(); !node.empty()) {
-        const auto a =
+        const auto response =
             sim.call(node, Method::post, "/v1/jobs", job(id, 1 + static_cast<int>(sim.random() % 20)));
-        if (a.status == 201 || a.status == 200) accepted.insert(id);
+        if (response.status == 201 || response.status == 200) accepted.insert(id);
       }
     }
     if (with_probability(fast_restarts ? 0 : 0.06)) {
@@ -220,8 +220,8 @@
       poll(*it);
       if (with_probability(duplicate_messages ? 0.1 : 0.03))
         if (const auto n = random_running_node(); !n.empty())
-          if (const auto a = sim.call(n, Method::post, "/v1/jobs/" + *it + "/withdraw");
-              a.status == 200 && a.body.at("status") == "withdrawn")
+          if (const auto response = sim.call(n, Method::post, "/v1/jobs/" + *it + "/withdraw");
+              response.status == 200 && response.body.at("status") == "withdrawn")
             sim.cancelled.emplace(*it, sim.engine.now);
     }
     sim.engine.run_for(from_seconds(pick({0.2, 1, 3})));
--- a/tests/requests_test.cpp
+++ b/tests/requests_test.cpp
@@ -125,11 +125,11 @@
   large["vcpus"] = 17.0;
   auto record = w.store.keys.at("s/job/j-1").value;
   record["spec"] = large;
-  w.store.set("s/job/j-2", record, 0);
+  w.store.set_key("s/job/j-2", record, 0);
   EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", large).status, 200);
   auto bad = job("j-3", 1);
   bad["waitsOn"] = 1;
-  w.store.set("s/job/j-3", record, 0);
+  w.store.set_key("s/job/j-3", record, 0);
   EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", bad).status, 200);
   // While the state service can't be asked nothing is refused for good either.
   auto unknown = job("j-4", 1);
