--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -15,13 +15,13 @@
   void submit_to_share_0(const std::string& id, int tasks) {
     auto submission = submission_json(id, tasks);
     submission["owner"] = "cards";
-    ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    ASSERT_EQ(world.call("b", Method::post, "/v1/jobs", submission).status, 201);
   }
   std::string owner_of_share_0() const {
     const auto row = world.store.keys.find("s/holder/0");
     return row == world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
   }
-  SmallWorld world;
+  ClusterSimulation world;
 };
 
 // Node a is cut off from the state service and its peers and goes on renewing its workers' leases for a
@@ -30,16 +30,16 @@
 TEST_F(DuplicateExecutionTest, SecondTakeoverWaitsForTheOwnerBeforeTheFirst) {
   for (Micros owned_for = 0; owned_for <= 4 * kSecond; owned_for += kSecond) {
     SCOPED_TRACE(to_seconds(owned_for));
-    SmallWorld local_world;
+    ClusterSimulation local_world;
     local_world.run_time = kLongTaskDuration;
-    local_world.push_lost = 0;
+    local_world.push_loss_rate = 0;
     local_world.engine.run_for(20 * kSecond);
     auto submission = submission_json("j-1", 8);
     submission["owner"] = "cards";
-    ASSERT_EQ(local_world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    ASSERT_EQ(local_world.call("b", Method::post, "/v1/jobs", submission).status, 201);
     local_world.engine.run_for(20 * kSecond);
-    for (const auto& machine : local_world.machines()) local_world.only_reaches[machine] = "a";
-    local_world.state_refuses = local_world.cut_off = {"a"};
+    for (const auto& machine : local_world.machines()) local_world.only_reachable_node[machine] = "a";
+    local_world.nodes_refused_by_state_service = local_world.nodes_cut_off_from_peers = {"a"};
     auto current_owner = [&local_world] {
       const auto row = local_world.store.keys.find("s/holder/0");
       return row == local_world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
@@ -53,7 +53,7 @@
     local_world.engine.run_for(50 * kMillisecond);
     local_world.start(successor);
     local_world.engine.run_for(60 * kSecond);
-    EXPECT_EQ(local_world.ran_twice, 0) << local_world.first_twice;
+    EXPECT_EQ(local_world.concurrent_runs, 0) << local_world.first_concurrent_run;
     for (int i = 0; i < 8; ++i)
       EXPECT_EQ(local_world.starts["j-1/" + std::to_string(i)], 2);  // no task stays waiting
   }
@@ -62,26 +62,26 @@
 // Answers to pushes overtake the worker's reports, and the answers to those reports renew its lease all the
 // same: when the machine falls silent, its tasks run until one lease after the last report that was answered.
 TEST_F(DuplicateExecutionTest, AnswersToReportsOvertakenByPushAnswersRenewTheLease) {
-  world.push_lost = 0;
+  world.push_loss_rate = 0;
   world.engine.run_for(20 * kSecond);
   submit_to_share_0("j-1", 12);  // leaves an empty machine that can be used at once
   world.engine.run_for(20 * kSecond);
   world.run_time = kLongTaskDuration;
   submit_to_share_0("j-2", 2);
   world.engine.run_for(3 * kSecond);
-  const auto machines_running_job = world.machines_of("j-2");
+  const auto machines_running_job = world.machines_running("j-2");
   ASSERT_EQ(machines_running_job.size(), 1U);
-  world.report_takes = 400 * kMillisecond;
+  world.report_latency = 400 * kMillisecond;
   for (int i = 0; i < 30; ++i) {  // occasional pushes while reports are in flight
     auto submission = submission_json("j-" + std::to_string(100 + i), 1);
     submission["owner"] = "cards";
     submission["vcpus"] = 0.1, submission["ramGb"] = 0.1;
-    ASSERT_EQ(world.ask("b", Method::post, "/v1/jobs", submission).status, 201);
+    ASSERT_EQ(world.call("b", Method::post, "/v1/jobs", submission).status, 201);
     world.engine.run_for(200 * kMillisecond);
   }
   world.hang(machines_running_job[0], 2 * world.worker_lease());
   world.engine.run_for(2 * world.worker_lease());
-  EXPECT_EQ(world.ran_twice, 0) << world.first_twice;
+  EXPECT_EQ(world.concurrent_runs, 0) << world.first_concurrent_run;
   EXPECT_EQ(world.starts["j-2/0"], 2);
 }
 
@@ -90,30 +90,30 @@
 TEST_F(DuplicateExecutionTest, MachineRecordedDuringAKeyRereadIsNotTreatedAsRemoved) {
   for (Micros reread_delay = 0; reread_delay < 7 * kSecond; reread_delay += kSecond / 2) {
     SCOPED_TRACE(to_seconds(reread_delay));
-    SmallWorld local_world;
-    local_world.push_lost = 0;
+    ClusterSimulation local_world;
+    local_world.push_loss_rate = 0;
     local_world.engine.run_for(20 * kSecond);
     ASSERT_EQ(local_world.store.keys.at("s/leader").value.at("node"), "a");
     auto submit = [&local_world](const std::string& id) {
       auto submission = submission_json(id, 24);
       submission["owner"] = "cards";
-      ASSERT_EQ(local_world.ask("a", Method::post, "/v1/jobs", submission).status, 201);
+      ASSERT_EQ(local_world.call("a", Method::post, "/v1/jobs", submission).status, 201);
     };
     local_world.run_time = 18 * kSecond;  // makes room on other machines once the new ones have their tasks
     submit("j-1");
     local_world.engine.run_for(18 * kSecond);
     local_world.run_time = kLongTaskDuration;
-    local_world.watch_stalls = {"a"};
+    local_world.nodes_with_stalled_watches = {"a"};
     submit("j-2");
     local_world.engine.run_for(reread_delay);
-    local_world.store.rows_in_page = 4;
-    local_world.store.page_takes = kSecond;  // as if there were very many pages
-    local_world.store.forget_changes();
-    local_world.watch_stalls.clear();
+    local_world.store.page_size = 4;
+    local_world.store.page_latency = kSecond;  // as if there were very many pages
+    local_world.store.compact_changes();
+    local_world.nodes_with_stalled_watches.clear();
     local_world.engine.run_for(20 * kSecond);
-    local_world.store.page_takes = 0;
+    local_world.store.page_latency = 0;
     local_world.engine.run_for(60 * kSecond);
-    EXPECT_EQ(local_world.ran_twice, 0) << local_world.first_twice;
+    EXPECT_EQ(local_world.concurrent_runs, 0) << local_world.first_concurrent_run;
     EXPECT_EQ(local_world.starts.size(), 48U);
     for (const auto& [task, starts] : local_world.starts) EXPECT_EQ(starts, 1) << task;
   }
@@ -128,10 +128,10 @@
 //   machine i-100003 leaves share 0 for -1
 //   start j-1/9 try 2097154 on i-100002 session 1 token 2097152 by push
 TEST_F(DuplicateExecutionTest, UnrecordedResultsSurviveAMachinesChangeOfShare) {
-  world.push_lost = 0;
-  world.commit_lost = [](const std::string& body) { return body.find("\"p/") != std::string::npos; };
+  world.push_loss_rate = 0;
+  world.drop_commit = [](const std::string& body) { return body.find("\"p/") != std::string::npos; };
   world.engine.run_for(20 * kSecond);
-  world.run_spread = 200 * kSecond;
+  world.run_time_spread = 200 * kSecond;
   submit_to_share_0("j-1", 48);
   world.engine.run_for(190 * kSecond);
   const auto completed_tasks = world.completed;
--- a/tests/engine.h
+++ b/tests/engine.h
@@ -1,5 +1,4 @@
-// Simulated time for whole nodes in one process: events in order, and a node's loop that can crash or stand
-// still.
+// Simulated time: a discrete-event engine, and a node's event loop on it that can be crashed or frozen.
 #pragma once
 #include <algorithm>
 #include <functional>
@@ -11,19 +10,22 @@
 
 namespace aspenwick::testing {
 
-/// Events in the order of their times; those of a node that has crashed are left out.
-class Engine {
+/// Runs events in the order of their times; events with equal times run in the order in which they were
+/// added.
+class SimulationEngine {
  public:
   Micros now = 1000 * kSecond;
-  void at(Micros delay, std::function<void()> what) {
-    events_.emplace(std::pair{now + std::max<Micros>(0, delay), ++count_}, std::move(what));
+  /// Calls `callback` once `delay` from now has passed; a negative delay counts as 0.
+  void at(Micros delay, std::function<void()> callback) {
+    events_.emplace(std::pair{now + std::max<Micros>(0, delay), ++count_}, std::move(callback));
   }
+  /// Runs all events that are due within `span`, and moves `now` to its end.
   void run_for(Micros span) {
     const Micros until = now + span;
     while (!events_.empty() && events_.begin()->first.first <= until) {
       now = events_.begin()->first.first;
-      const auto what = std::move(events_.extract(events_.begin()).mapped());
-      what();
+      const auto callback = std::move(events_.extract(events_.begin()).mapped());
+      callback();
     }
     now = until;
   }
@@ -33,37 +35,40 @@
   std::uint64_t count_ = 0;
 };
 
-class NodeLoop : public net::Loop {
+/// The event loop of one node process. Callbacks of a crashed process are never called.
+class SimulatedLoop : public net::Loop {
  public:
-  explicit NodeLoop(Engine& engine) : engine_(engine) {}
+  explicit SimulatedLoop(SimulationEngine& engine) : engine_(engine) {}
   Micros now() const override { return engine_.now; }
   Micros time_of_day() const override { return engine_.now + 1'700'000'000 * kSecond; }
-  void call_later(Micros delay, std::function<void()> what) override {
-    engine_.at(delay, [this, alive = alive_, what = std::move(what)]() mutable {
+  void call_later(Micros delay, std::function<void()> callback) override {
+    engine_.at(delay, [this, alive = alive_, callback = std::move(callback)]() mutable {
       if (!*alive) return;
-      if (frozen() > 0) return call_later(frozen() + ++waited_ * kWorkedThrough, std::move(what));
-      what();
+      if (remaining_freeze() > 0)
+        return call_later(remaining_freeze() + ++delayed_callbacks_ * kBacklogCallbackTime,
+                          std::move(callback));
+      callback();
     });
   }
-  void call_every(Micros period, std::function<void()> what) override {
-    call_later(period, [this, period, what] {
-      call_every(period, what);
-      what();
+  void call_every(Micros period, std::function<void()> callback) override {
+    call_later(period, [this, period, callback] {
+      call_every(period, callback);
+      callback();
     });
   }
   void crash() { *alive_ = false; }
-  /// All that would happen until then happens then, one thing after the other.
+  /// Postpones all callbacks due within `span` to its end, where they run one after the other.
   void freeze(Micros span) {
     frozen_until_ = engine_.now + span;
-    waited_ = 0;
+    delayed_callbacks_ = 0;
   }
-  Micros frozen() const { return std::max<Micros>(0, frozen_until_ - engine_.now); }
+  /// 0: not frozen.
+  Micros remaining_freeze() const { return std::max<Micros>(0, frozen_until_ - engine_.now); }
 
  private:
-  static constexpr Micros kWorkedThrough =
-      kMillisecond / 4;  // what a node takes for each thing that has waited
-  Engine& engine_;
-  Micros frozen_until_ = 0, waited_ = 0;
+  static constexpr Micros kBacklogCallbackTime = kMillisecond / 4;  // between postponed callbacks
+  SimulationEngine& engine_;
+  Micros frozen_until_ = 0, delayed_callbacks_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/job_api_test.cpp
+++ b/tests/job_api_test.cpp
@@ -4,7 +4,7 @@
 #include <limits>
 
 #include "app/records.h"
-#include "users.h"
+#include "simulated_users.h"
 
 namespace aspenwick::testing {
 namespace {
@@ -13,8 +13,8 @@
 
 struct JobApiTest : NodeTest {
   /// Whether any commit named the job.
-  static bool was_written(const SmallWorld& w, const std::string& id) {
-    return std::any_of(w.commits.begin(), w.commits.end(),
+  static bool was_written(const ClusterSimulation& w, const std::string& id) {
+    return std::any_of(w.sent_commits.begin(), w.sent_commits.end(),
                        [&](const auto& text) { return text.find(id) != std::string::npos; });
   }
 };
@@ -23,7 +23,7 @@
 // jobs that can never run. It is never a 5xx, and nothing is written. Fields that may be null may be absent
 // (PROTOCOL).
 TEST_F(JobApiTest, InvalidAndUnschedulableJobsAreRejected) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.engine.run_for(20 * kSecond);
   const Json absent = Json(Json::value_t::discarded);
   const std::vector<Json> invalid_texts{
@@ -61,7 +61,7 @@
         j.erase(invalid_field.field);
       else
         j[invalid_field.field] = value;
-      const auto response = w.ask("a", Method::post, "/v1/jobs", j);
+      const auto response = w.call("a", Method::post, "/v1/jobs", j);
       EXPECT_EQ(response.status, 400) << j.dump();
       EXPECT_NE(response.body.value("error", "").find(invalid_field.field), std::string::npos)
           << response.body << j.dump();
@@ -72,11 +72,11 @@
     const std::string id = "j-" + std::to_string(++n);
     std::string text = submission_json(id, 1).dump();
     text.insert(1, duplicate);
-    EXPECT_EQ(w.ask_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
+    EXPECT_EQ(w.call_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
     EXPECT_FALSE(was_written(w, id));
   }
   for (const char* text : {"", "{", "[]", "null", "1", "{\"nameId\":", "\xff\xfe"})
-    EXPECT_EQ(w.ask_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
+    EXPECT_EQ(w.call_text("b", Method::post, "/v1/jobs", text).status, 400) << text;
 
   struct Unschedulable {
     const char* field;
@@ -93,7 +93,7 @@
     const std::string id = "j-" + std::to_string(++n);
     auto j = submission_json(id, 1);
     j[field] = value;
-    const auto response = w.ask("a", Method::post, "/v1/jobs", j);
+    const auto response = w.call("a", Method::post, "/v1/jobs", j);
     EXPECT_EQ(response.status, 422) << j.dump();
     EXPECT_FALSE(response.body.value("error", "").empty());
     EXPECT_FALSE(was_written(w, id)) << j.dump();
@@ -102,60 +102,60 @@
     const std::string id = "j-" + std::to_string(++n);
     auto j = submission_json(id, 5);
     j["owner"] = "tight", j["shape"] = shape;
-    EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", j).status, 422) << j.dump();
+    EXPECT_EQ(w.call("c", Method::post, "/v1/jobs", j).status, 422) << j.dump();
     EXPECT_FALSE(was_written(w, id));
   }
   // At most one task in each zone, but only one zone is allowed.
   auto spread = submission_json("j-600000", 2);
   spread["shape"] = "group", spread["spread"] = true, spread["site"] = "z1";
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
+  EXPECT_EQ(w.call("c", Method::post, "/v1/jobs", spread).status, 422);
   spread["site"] = nullptr, spread["together"] = true;
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs", spread).status, 422);
+  EXPECT_EQ(w.call("c", Method::post, "/v1/jobs", spread).status, 422);
 
   // Fields that may be null may be absent.
   auto minimal = submission_json("j-600001", 1);
   for (const char* f : {"rigtypes", "site", "dueS"}) minimal.erase(f);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", minimal).status, 201);
+  EXPECT_EQ(w.call("a", Method::post, "/v1/jobs", minimal).status, 201);
 }
 
 // A retry of an accepted job is never rejected, not even by a node that doesn't know the job yet and finds it
 // invalid by its own limits, machine types and records.
 TEST_F(JobApiTest, RetriesOfAcceptedJobsAreNeverRejected) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-1", 1)).status, 201);
+  EXPECT_EQ(w.call("a", Method::post, "/v1/jobs", submission_json("j-1", 1)).status, 201);
   w.engine.run_for(kSecond);
   // Accepted by another node a moment ago, under other limits and types; no watch has delivered it yet.
   auto large = submission_json("j-2", 1);
   large["vcpus"] = 17.0;
   auto record = w.store.keys.at("s/job/j-1").value;
   record["spec"] = large;
-  w.store.set("s/job/j-2", record, 0);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", large).status, 200);
+  w.store.set_key("s/job/j-2", record, 0);
+  EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", large).status, 200);
   auto bad = submission_json("j-3", 1);
   bad["waitsOn"] = 1;
-  w.store.set("s/job/j-3", record, 0);
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", bad).status, 200);
+  w.store.set_key("s/job/j-3", record, 0);
+  EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", bad).status, 200);
   // While the state service is unavailable, nothing is rejected for good either.
   auto unknown = submission_json("j-4", 1);
   unknown["vcpus"] = 17.0;
-  w.state_refuses = {"b"};
-  EXPECT_EQ(w.ask("b", Method::post, "/v1/jobs", unknown).status, 503);
+  w.nodes_refused_by_state_service = {"b"};
+  EXPECT_EQ(w.call("b", Method::post, "/v1/jobs", unknown).status, 503);
 }
 
 // A submission's commit is executed, but its response is late, and meanwhile another node has told the user
 // that the job is cancelled. The late response must not report the job as queued.
 TEST_F(JobApiTest, ALateCommitResponseReportsTheNewestStatus) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.engine.run_for(20 * kSecond);
-  w.state_slow = 1900 * kMillisecond;
-  std::vector<Answer> responses;
+  w.state_service_latency = 1900 * kMillisecond;
+  std::vector<Response> responses;
   w.send("b", Method::post, "/v1/jobs", submission_json("j-1", 1),
-         [&](const Answer& a) { responses.push_back(a); });
+         [&](const Response& a) { responses.push_back(a); });
   w.engine.run_for(100 * kMillisecond);
   ASSERT_TRUE(w.store.keys.contains("s/job/j-1"));
-  w.state_slow = 0;
-  EXPECT_EQ(w.ask("c", Method::post, "/v1/jobs/j-1/withdraw").body.value("status", ""), "withdrawn");
+  w.state_service_latency = 0;
+  EXPECT_EQ(w.call("c", Method::post, "/v1/jobs/j-1/withdraw").body.value("status", ""), "withdrawn");
   ASSERT_TRUE(responses.empty());
   w.engine.run_for(2 * kSecond);
   ASSERT_EQ(responses.size(), 1U);
@@ -165,33 +165,33 @@
 // While the owner's reply on a job is delayed, the job is cancelled at the node that waits for the reply. The
 // job must not be reported as queued after that.
 TEST_F(JobApiTest, ALatePeerReplyReportsNoOlderStatus) {
-  SmallWorld w;
+  ClusterSimulation w;
   w.run_time = 600 * kSecond;
   w.engine.run_for(20 * kSecond);
-  EXPECT_EQ(w.ask("a", Method::post, "/v1/jobs", submission_json("j-1", 1)).status, 201);
+  EXPECT_EQ(w.call("a", Method::post, "/v1/jobs", submission_json("j-1", 1)).status, 201);
   w.engine.run_for(30 * kSecond);
   int reported_running = 0;
-  for (const auto& node : kNodes) {
-    if (w.ask(node, Method::get, "/v1/jobs/j-1").body.value("status", "") != "running") continue;
+  for (const auto& node : kNodeNames) {
+    if (w.call(node, Method::get, "/v1/jobs/j-1").body.value("status", "") != "running") continue;
     ++reported_running;
   }
   EXPECT_EQ(reported_running, 3);
   // While frames are held, the status does not go back from running to queued.
-  w.hold_frames = {"a", "b", "c"};
-  for (const auto& node : kNodes)
-    EXPECT_EQ(w.ask(node, Method::get, "/v1/jobs/j-1").body.value("status", ""), "running") << node;
-  std::vector<Answer> responses;
-  for (const auto& node : kNodes)
-    w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Answer& a) { responses.push_back(a); });
+  w.nodes_with_held_frames = {"a", "b", "c"};
+  for (const auto& node : kNodeNames)
+    EXPECT_EQ(w.call(node, Method::get, "/v1/jobs/j-1").body.value("status", ""), "running") << node;
+  std::vector<Response> responses;
+  for (const auto& node : kNodeNames)
+    w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Response& a) { responses.push_back(a); });
   w.engine.run_for(60 * kMillisecond);  // the records were read again, and the owner is being asked
   const auto before = responses.size();
   // The owner knows of the cancellation, but its reply can't arrive: the user retries, and meanwhile no
   // response reports an older status.
-  Answer cancelled;
+  Response cancelled;
   for (int i = 0; i < 10 && cancelled.status != 200; ++i) {
-    cancelled = w.ask("a", Method::post, "/v1/jobs/j-1/withdraw");
-    for (const auto& node : kNodes)
-      w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Answer& a) { responses.push_back(a); });
+    cancelled = w.call("a", Method::post, "/v1/jobs/j-1/withdraw");
+    for (const auto& node : kNodeNames)
+      w.send(node, Method::get, "/v1/jobs/j-1", {}, [&](const Response& a) { responses.push_back(a); });
     w.engine.run_for(kSecond);
   }
   EXPECT_EQ(cancelled.body.value("status", ""), "withdrawn");
@@ -200,7 +200,7 @@
   for (auto i = before; i < responses.size(); ++i)
     EXPECT_TRUE(responses[i].status == 503 || responses[i].body.value("status", "") == "withdrawn")
         << responses[i].body;
-  EXPECT_EQ(w.ask("a", Method::get, "/v1/jobs/j-1").body.value("status", ""), "withdrawn");
+  EXPECT_EQ(w.call("a", Method::get, "/v1/jobs/j-1").body.value("status", ""), "withdrawn");
 }
 
 /// Sends nothing and never responds.
@@ -212,8 +212,8 @@
 // Records of a job come from the watch, fresh reads, peers and the node's own commits, in any order and
 // repeatedly. The newest one wins in the end, and a job that was final stays final throughout.
 TEST_F(JobApiTest, TheNewestRecordWinsInEveryOrderOfArrival) {
-  Engine engine;
-  NodeLoop loop(engine);
+  SimulationEngine engine;
+  SimulatedLoop loop(engine);
   NullRequester http;
   const auto platform = wire::parse_settings(settings_json().dump());
   store::Client client(loop, http, platform);
@@ -259,8 +259,8 @@
 // not get the revision of the open record: that others have read up to that doesn't mean that they know of
 // the cancellation.
 TEST_F(JobApiTest, ACancellationThatPrecedesItsRecordHasNoRevision) {
-  Engine engine;
-  NodeLoop loop(engine);
+  SimulationEngine engine;
+  SimulatedLoop loop(engine);
   NullRequester http;
   const auto platform = wire::parse_settings(settings_json().dump());
   store::Client client(loop, http, platform);
--- a/tests/result_writer_test.cpp
+++ b/tests/result_writer_test.cpp
@@ -94,8 +94,8 @@
   static constexpr std::uint64_t kLease = 7;
   wire::PlatformSettings platform = wire::parse_settings(settings_json().dump());
   app::OperatorSettings settings = settings_that_raise_the_epoch_at_once();
-  Engine engine;
-  NodeLoop loop{engine};
+  SimulationEngine engine;
+  SimulatedLoop loop{engine};
   ManualRequester http;
   store::Client store{loop, http, platform};
   app::Records records{platform,
--- a/tests/stale_records_test.cpp
+++ b/tests/stale_records_test.cpp
@@ -7,7 +7,7 @@
 // sent the start at 135.06 s under the token from before the pause. Its watch resumed at 135.08 s from the
 // revision before the pause, and it read the cancellation 80 ms after the start. The cause: the right to
 // start was decided by the lease alone, without the age of the records.
-#include "users.h"
+#include "simulated_users.h"
 
 namespace aspenwick::testing {
 namespace {
@@ -19,15 +19,15 @@
 
 struct StaleRecordsTest : NodeTest {};
 
-/// Makes node a miss the latest changes, so that it reads all keys again, in pages of `rows_in_page` keys
-/// that take `page_takes` each.
-void force_key_reread(SmallWorld& world, std::size_t rows_in_page, Micros page_takes) {
-  world.watch_stalls = {"a"};
-  EXPECT_EQ(world.ask("b", net::Method::post, "/v1/jobs", submission_json("j-9", 1)).status, 201);
-  world.store.rows_in_page = rows_in_page;
-  world.store.page_takes = page_takes;
-  world.store.forget_changes();
-  world.watch_stalls.clear();
+/// Makes node a miss the latest changes, so that it reads all keys again, in pages of `page_size` keys
+/// that take `page_latency` each.
+void force_key_reread(ClusterSimulation& world, std::size_t page_size, Micros page_latency) {
+  world.nodes_with_stalled_watches = {"a"};
+  EXPECT_EQ(world.call("b", net::Method::post, "/v1/jobs", submission_json("j-9", 1)).status, 201);
+  world.store.page_size = page_size;
+  world.store.page_latency = page_latency;
+  world.store.compact_changes();
+  world.nodes_with_stalled_watches.clear();
   world.engine.run_for(100 * kMillisecond);
 }
 
@@ -36,14 +36,14 @@
     const auto row = world.store.keys.find("s/holder/0");
     return row == world.store.keys.end() ? "" : row->second.value.at("node").get<std::string>();
   }
-  SmallWorld world;
-  Users users{world};
+  ClusterSimulation world;
+  SimulatedUsers users{world};
 };
 
 /// Node a owns share 0. Each of the kTaskCount long tasks of job j-1 runs on a machine of its own.
 struct ClusterWithRunningJob : Cluster {
   ClusterWithRunningJob() {
-    world.push_lost = 0;
+    world.push_loss_rate = 0;
     world.run_time = kLongTaskDuration;
     world.engine.run_for(20 * kSecond);
     auto submission = submission_json("j-1", kTaskCount);
@@ -56,9 +56,9 @@
   }
   void expect_no_start_after_cancellation() const {
     EXPECT_TRUE(world.cancelled.contains("j-1"));
-    EXPECT_EQ(world.start_after_cancellation, 0) << world.started_cancelled;
-    EXPECT_EQ(world.ran_cancelled, "");
-    EXPECT_EQ(world.ran_twice, 0) << world.first_twice;
+    EXPECT_EQ(world.latest_start_after_cancellation, 0) << world.latest_cancelled_start;
+    EXPECT_EQ(world.ran_after_cancellation, "");
+    EXPECT_EQ(world.concurrent_runs, 0) << world.first_concurrent_run;
   }
 };
 
@@ -66,10 +66,10 @@
   for (Micros extra_freeze = 0; extra_freeze < 1300 * kMillisecond; extra_freeze += 50 * kMillisecond) {
     SCOPED_TRACE(to_seconds(extra_freeze));
     ClusterWithRunningJob cluster;
-    cluster.world.report_takes = 300 * kMillisecond;  // some arrive just after the owner resumed
-    cluster.world.interrupt_state_service(kFreezeDuration + 5 * kSecond);
+    cluster.world.report_latency = 300 * kMillisecond;  // some arrive just after the owner resumed
+    cluster.world.flap_state_service(kFreezeDuration + 5 * kSecond);
     cluster.world.freeze("a", kFreezeDuration + extra_freeze);
-    cluster.world.cut_off = {"a"};  // frames of its peers are lost
+    cluster.world.nodes_cut_off_from_peers = {"a"};  // frames of its peers are lost
     cluster.world.engine.run_for(kCancelDelay);
     cluster.users.cancel("j-1", "b");
     cluster.world.engine.run_for(kFreezeDuration + extra_freeze - kCancelDelay);
@@ -82,14 +82,14 @@
 /// Node a owns share 0 with four machines, on which the many short tasks of job j-1 run a few at a time.
 struct ClusterWithQueuedTasks : Cluster {
   ClusterWithQueuedTasks() {
-    world.push_lost = 0;
-    world.most_machines = 4;
+    world.push_loss_rate = 0;
+    world.max_machines = 4;
     world.run_time = kSecond;
     world.engine.run_for(20 * kSecond);
     submit("j-1");
     world.engine.run_for(30 * kSecond);
     EXPECT_EQ(owner_of_share_0(), "a");
-    EXPECT_FALSE(world.machines_of("j-1").empty());
+    EXPECT_FALSE(world.machines_running("j-1").empty());
   }
   void submit(const std::string& id) {
     auto submission = submission_json(id, 600);
@@ -102,22 +102,22 @@
 // again.
 TEST_F(StaleRecordsTest, OwnerRereadingAllKeysStartsNothingCancelledMeanwhile) {
   ClusterWithQueuedTasks cluster;
-  cluster.world.cut_off = {"a"};
+  cluster.world.nodes_cut_off_from_peers = {"a"};
   force_key_reread(cluster.world, 4, 2 * kSecond);
   cluster.users.cancel("j-1", "b");
   cluster.world.engine.run_for(12 * kSecond);
   EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
-  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
+  EXPECT_EQ(cluster.world.latest_start_after_cancellation, 0) << cluster.world.latest_cancelled_start;
   EXPECT_EQ(cluster.owner_of_share_0(), "a");
   cluster.world.engine.run_for(60 * kSecond);
-  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
+  EXPECT_EQ(cluster.world.latest_start_after_cancellation, 0) << cluster.world.latest_cancelled_start;
 }
 
 // An owner with a valid lease renews its workers' leases, but on stale records for no longer than a
 // cancellation may stay unknown to it.
 TEST_F(StaleRecordsTest, WorkerLeasesAreNotRenewedForLongOnStaleRecords) {
   ClusterWithRunningJob cluster;
-  cluster.world.cut_off = {"a"};
+  cluster.world.nodes_cut_off_from_peers = {"a"};
   force_key_reread(cluster.world, 1, 2900 * kMillisecond);
   cluster.users.cancel("j-1", "b");
   cluster.world.engine.run_for(8 * kSecond);
@@ -131,13 +131,13 @@
 // are requested separately as well.
 TEST_F(StaleRecordsTest, HeldWatchNeitherStopsStartsNorHidesACancellation) {
   ClusterWithQueuedTasks cluster;
-  cluster.world.cut_off = {"a"};
-  cluster.world.open_watches_held = {"a"};
+  cluster.world.nodes_cut_off_from_peers = {"a"};
+  cluster.world.nodes_with_stalled_long_polls = {"a"};
   cluster.submit("j-2");
   cluster.users.cancel("j-1", "b");
   cluster.world.engine.run_for(8 * kSecond);
   EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
-  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
+  EXPECT_EQ(cluster.world.latest_start_after_cancellation, 0) << cluster.world.latest_cancelled_start;
   const auto starts_before = cluster.world.starts.size();
   cluster.world.engine.run_for(20 * kSecond);
   EXPECT_GT(cluster.world.starts.size(), starts_before + 100);  // of j-2
@@ -150,10 +150,10 @@
   const auto machines = cluster.world.machines().size();
   force_key_reread(cluster.world, 1, 2 * kSecond);
   cluster.world.engine.run_for(6 * kSecond);
-  cluster.world.most_machines = 100;  // the cloud has more machines now, and there are tasks for them
+  cluster.world.max_machines = 100;  // the cloud has more machines now, and there are tasks for them
   cluster.world.engine.run_for(20 * kSecond);
   EXPECT_EQ(cluster.world.machines().size(), machines);
-  cluster.world.store.page_takes = 0;
+  cluster.world.store.page_latency = 0;
   cluster.world.engine.run_for(30 * kSecond);
   EXPECT_GT(cluster.world.machines().size(), machines);
 }
@@ -166,7 +166,7 @@
     ClusterWithRunningJob cluster;
     ASSERT_EQ(cluster.world.store.keys.at("s/leader").value.at("node"), "a");
     const auto machines = cluster.world.machines().size();
-    cluster.world.interrupt_state_service(kFreezeDuration + 2 * kSecond);
+    cluster.world.flap_state_service(kFreezeDuration + 2 * kSecond);
     cluster.world.freeze("a", kFreezeDuration + extra_freeze);
     cluster.world.engine.run_for(kFreezeDuration + extra_freeze + 20 * kSecond);
     EXPECT_EQ(cluster.world.machines().size(), machines);
@@ -178,21 +178,21 @@
 // cancellation is not enough.
 TEST_F(StaleRecordsTest, FormerOwnersAcknowledgementDoesNotConfirmACancellation) {
   ClusterWithQueuedTasks cluster;
-  cluster.world.watch_stalls = {"c"};
+  cluster.world.nodes_with_stalled_watches = {"c"};
   cluster.world.crash("a");
   for (int i = 0; i < 100 && cluster.owner_of_share_0() != "b"; ++i)
     cluster.world.engine.run_for(kSecond / 10);
   ASSERT_EQ(cluster.owner_of_share_0(), "b");
   cluster.world.start("a");
   cluster.world.engine.run_for(1500 * kMillisecond);
-  cluster.world.open_watches_held = cluster.world.cut_off = {"b"};
+  cluster.world.nodes_with_stalled_long_polls = cluster.world.nodes_cut_off_from_peers = {"b"};
   const auto starts_before = cluster.world.starts.size();
   cluster.users.cancel("j-1", "c");
   cluster.world.engine.run_for(2 * kSecond);
   ASSERT_GT(cluster.world.starts.size(), starts_before);  // by b, which doesn't know of the cancellation yet
   cluster.world.engine.run_for(8 * kSecond);
   EXPECT_TRUE(cluster.world.cancelled.contains("j-1"));
-  EXPECT_EQ(cluster.world.start_after_cancellation, 0) << cluster.world.started_cancelled;
+  EXPECT_EQ(cluster.world.latest_start_after_cancellation, 0) << cluster.world.latest_cancelled_start;
 }
 
 // If the owner is reachable, its acknowledgement costs a round trip and the watch's pause, and no retry.
@@ -203,7 +203,7 @@
     cluster.submit(id);
     cluster.world.engine.run_for(kSecond + i * 23 * kMillisecond);
     const Micros requested_at = cluster.world.engine.now;
-    EXPECT_EQ(cluster.world.ask("b", net::Method::post, "/v1/jobs/" + id + "/withdraw").status, 200);
+    EXPECT_EQ(cluster.world.call("b", net::Method::post, "/v1/jobs/" + id + "/withdraw").status, 200);
     EXPECT_LE(cluster.world.engine.now - requested_at, 120 * kMillisecond);
   }
 }
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -5,8 +5,8 @@
 #include <deque>
 #include <utility>
 
+#include "cluster_simulation.h"
 #include "fixtures.h"
-#include "small_world.h"
 #include "store/client.h"
 
 namespace aspenwick::store {
@@ -54,8 +54,8 @@
     return http.take();
   }
   wire::PlatformSettings platform = wire::parse_settings(testing::settings_json().dump());
-  testing::Engine engine;
-  testing::NodeLoop loop{engine};
+  testing::SimulationEngine engine;
+  testing::SimulatedLoop loop{engine};
   ManualRequester http;
   Client client{loop, http, platform};
   ManualRequester::Request watch;
